--- a/crates/nectar/tests/quota.rs
+++ b/crates/admission/tests/quota.rs
@@ -1,71 +1,78 @@
 //! A quota's rate and its burst have one owner each: what broke that in the simulator, without it.
 
 use googletest::prelude::*;
-use pinerelay_nectar::purse::{Admission, Grant, Purse};
-use pinerelay_nectar::terms::Quota;
-use pinerelay_nectar::well::{Call, Well};
-use pinerelay_nectar::Micros;
+use pinerelay_admission::lease::LeaseGrant;
+use pinerelay_admission::lease::Usage;
+use pinerelay_admission::lease_cache::{Admission, LeaseCache};
+use pinerelay_admission::quota::Quota;
+use pinerelay_admission::quota_allocator::QuotaAllocator;
+use pinerelay_admission::Micros;
 
 const QUOTA: Quota = Quota { rate: 100.0, burst: 100.0 };
 const SECOND: Micros = 1_000_000;
 
-fn call(want: f64, holds: f64) -> Call {
-    Call { want, holds, ..Call::default() }
+fn usage(wanted: f64, held_share: f64) -> Usage {
+    Usage { wanted, held_share, ..Usage::default() }
 }
 
 /// Draws all that is there.
-fn drain(well: &mut Well, now: Micros, node: &str, strangers: bool) -> f64 {
-    let share = well.draw(now, node, strangers, &call(0.0, 0.0)).share;
-    well.draw(now, node, strangers, &call(1_000.0, share)).units.unwrap_or(0.0)
+fn drain(allocator: &mut QuotaAllocator, now: Micros, node: &str, strangers: bool) -> f64 {
+    let share = allocator.draw(now, node, strangers, &usage(0.0, 0.0)).share;
+    allocator.draw(now, node, strangers, &usage(1_000.0, share)).units.unwrap_or(0.0)
 }
 
 #[gtest]
 fn what_was_kept_back_for_one_that_returns_is_no_second_burst() {
-    let mut well = Well::full(0, QUOTA);
-    let share = well.draw(0, "a", false, &call(1.0, 0.0)).share;
+    let mut allocator = QuotaAllocator::full(0, QUOTA);
+    let share = allocator.draw(0, "a", false, &usage(1.0, 0.0)).share;
     expect_that!(share, gt(0.9));
     // It is cut off for four seconds, in which nobody asks. Then another takes all that is there, and it returns.
-    well.missing(SECOND, "a", 0);
-    let mut granted = drain(&mut well, 4 * SECOND, "b", false);
-    well.returned(4 * SECOND, "a");
+    allocator.proxy_missing(SECOND, "a", 0);
+    let mut granted = drain(&mut allocator, 4 * SECOND, "b", false);
+    allocator.proxy_returned(4 * SECOND, "a");
     for (spent, at) in [(0.0, 4 * SECOND), (0.0, 4 * SECOND + 1)] {
-        let told = Call { spent, ..call(1_000.0, share) };
-        granted += well.draw(at, "a", false, &told).units.unwrap_or(0.0);
+        let told = Usage { share_spent: spent, ..usage(1_000.0, share) };
+        granted += allocator.draw(at, "a", false, &told).units.unwrap_or(0.0);
     }
     expect_that!(granted, all!(ge(QUOTA.burst - 2.0), le(QUOTA.burst + 1.0)), "with what it had not spent");
 }
 
 #[gtest]
 fn a_new_count_tells_no_share_that_another_may_hold_by_the_word_of_the_count_before() {
-    let mut well = Well::new(0, QUOTA);
+    let mut allocator = QuotaAllocator::new(0, QUOTA);
     // `a` was told 0.6 and is cut off; `b` was told 0.35, and is all that is heard.
     let mut holds = 0.35;
     for at in 1..100 {
-        holds = well.draw(at * SECOND / 10, "b", true, &call(5.0, holds)).share;
+        holds = allocator.draw(at * SECOND / 10, "b", true, &usage(5.0, holds)).share;
         expect_that!(holds, le(0.35 + 1e-9), "at {at}");
     }
     // Of the rate no more is granted than is not `a`'s.
-    let granted = drain(&mut well, 20 * SECOND, "b", true);
+    let granted = drain(&mut allocator, 20 * SECOND, "b", true);
     expect_that!(granted, le(QUOTA.burst * 0.4 + 1.0));
     // It is heard: nothing is unknown, and shares follow what is drawn again.
-    well.draw(21 * SECOND, "a", false, &call(1.0, 0.6));
-    well.draw(22 * SECOND, "a", false, &call(1.0, 0.1));
-    well.draw(23 * SECOND, "a", false, &call(1.0, 0.1));
-    expect_that!(well.draw(23 * SECOND, "b", false, &call(5.0, 0.35)).share, gt(0.5));
+    allocator.draw(21 * SECOND, "a", false, &usage(1.0, 0.6));
+    allocator.draw(22 * SECOND, "a", false, &usage(1.0, 0.1));
+    allocator.draw(23 * SECOND, "a", false, &usage(1.0, 0.1));
+    expect_that!(allocator.draw(23 * SECOND, "b", false, &usage(5.0, 0.35)).share, gt(0.5));
 }
 
 /// How many requests run that come every 10 ms from `from` on, while no ask is answered. What it was told was asked at 0.
 fn lives(from: Micros, until: Micros) -> Vec<Micros> {
-    let mut purse = Purse::new();
-    purse.arrive(0, "t", QUOTA, 0);
-    purse.asks(0);
-    purse.granted(10_000, 0, "t", Grant::Block { units: 1.0, life: 1, fence: 1, share: 0.5 });
+    let mut cache = LeaseCache::new();
+    cache.admit(0, "t", QUOTA, 0);
+    cache.lease_requests(0);
+    cache.granted(
+        10_000,
+        0,
+        "t",
+        LeaseGrant::Units { units: 1.0, duration: 1, fencing_token: 1, share: 0.5 },
+    );
     let mut runs = Vec::new();
     for now in (from..until).step_by(10_000) {
-        purse.asks(now);
-        let ended = purse.tick(now).into_iter().map(|(_, admission)| admission);
-        let all: Vec<Admission> = ended.chain([purse.arrive(now, "t", QUOTA, now)]).collect();
-        runs.extend(all.iter().filter(|admission| **admission == Admission::Go).map(|_| now));
+        cache.lease_requests(now);
+        let ended = cache.tick(now).into_iter().map(|decision| decision.admission);
+        let all: Vec<Admission> = ended.chain([cache.admit(now, "t", QUOTA, now)]).collect();
+        runs.extend(all.iter().filter(|admission| **admission == Admission::Admitted).map(|_| now));
     }
     runs
 }
--- a/crates/compatibility/tests/control_answers.rs
+++ b/crates/compatibility/tests/control_answers.rs
@@ -6,16 +6,16 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::{call, Cells, Item};
-use pinerelay_comb::desk::{Desk, Output as StoreOutput};
+use pinerelay_admission::quota::QuotaBounds;
 use pinerelay_compatibility::Golden;
-use pinerelay_dance::store::Birth as StoreBirth;
-use pinerelay_nectar::terms::Bounds;
-use pinerelay_propolis::settings::Settings;
-use pinerelay_propolis::speech::{Answered, Hello, Passed, Role, Speech};
-use pinerelay_scout::dispatch;
-use pinerelay_scout::registry::{Birth, Output, Registry};
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::{operator_call, Item, ItemSet};
+use pinerelay_config_store::service::{Output as StoreOutput, StoreService};
+use pinerelay_consensus::StoreConfig;
+use pinerelay_node_runtime::settings::Settings;
+use pinerelay_peer_link::message::{CallReply, ForwardedCall, Hello, PeerMessage, Role};
+use pinerelay_registry::control_call;
+use pinerelay_registry::registry::{Output, Registry, RegistryConfig};
 
 const IP: &str = "10.0.0.1";
 
@@ -35,38 +35,48 @@
 fn item_line(item: &Item) -> String {
     let value =
         item.value.as_ref().map_or("dropped".into(), |value| String::from_utf8_lossy(value).into_owned());
-    format!("{:?} {:?} {:?} {value}", item.key.kind, item.key.name, (item.version.0, item.version.1))
+    format!(
+        "{:?} {:?} {:?} {value}",
+        item.key.kind,
+        item.key.name,
+        (item.version.revision, item.version.tie_breaker)
+    )
 }
 
 #[gtest]
 fn configurations_are_read_as_by_the_release_in_service() -> googletest::Result<()> {
     let mut golden = Golden::file("configuration.txt");
-    let items = call::read(CONFIGURATION.as_bytes()).expect("a configuration");
+    let items = operator_call::parse_update(CONFIGURATION.as_bytes()).expect("a configuration");
     for (n, item) in items.iter().enumerate() {
         golden.text(&format!("item_{n:02}"), &item_line(item));
     }
-    let mut set = Cells::default();
+    let mut set = ItemSet::default();
     set.merge_all(items);
-    golden.text("read_back", &call::write(&set));
-    let table = Table::of(&set);
+    golden.text("read_back", &operator_call::render_configuration(&set));
+    let table = RoutingTable::from_items(&set);
     for route in table.routes() {
         let mut text = format!(
             "{} {} {:?} {:?} {:?} ",
-            route.host, route.prefix, route.kind, route.timeout, route.target
+            route.host, route.path_prefix, route.route_type, route.timeout, route.latency_target
         );
-        let _ = write!(text, "{} {} {} {:?}", route.priority, route.retries, route.public, route.services);
+        let services: Vec<_> = route.services.iter().map(|part| (&part.service, part.weight)).collect();
+        let _ = write!(text, "{} {} {} {services:?}", route.priority, route.max_attempts, route.public);
         golden.text(&format!("route_{}", route.name), &text);
     }
     for tenant in table.tenants() {
-        let text = format!("{:?} {:?} {:?} {:?}", tenant.keys, tenant.priority, tenant.rate, tenant.burst);
+        let text =
+            format!("{:?} {:?} {:?} {:?}", tenant.api_keys, tenant.priority, tenant.rate, tenant.burst);
         golden.text(&format!("tenant_{}", tenant.name), &text);
     }
     for (name, service) in &table.services {
-        golden.text(&format!("service_{name}"), &format!("{} {}", service.health_path, service.max_conns));
+        golden.text(
+            &format!("service_{name}"),
+            &format!("{} {}", service.health_path, service.max_connections),
+        );
     }
     let limits = table.limits;
     let times = format!("{:?} {:?}", limits.header_timeout, limits.idle_timeout);
-    golden.text("limits", &format!("{} {} {times}", limits.header_bytes, limits.body_bytes));
+    golden.text("limits", &format!("{} {} {times}", limits.max_header_bytes, limits.max_body_bytes));
     golden.check().or_fail()
 }
 
@@ -125,7 +135,7 @@
             bounds.quota_period,
         ];
         let numbers = [bounds.retry_ratio, bounds.retry_extra, bounds.quota_overrun, bounds.quota_margin];
-        golden.text(&format!("{name}_spans"), &format!("{:?}", spans.map(|span| span.micros())));
+        golden.text(&format!("{name}_spans"), &format!("{:?}", spans.map(|span| span.as_micros())));
         golden.text(&format!("{name}_numbers"), &format!("{numbers:?}"));
         let listen = (settings.listen.public_http, settings.listen.readiness, settings.listen.control);
         golden.text(&format!("{name}_listen"), &format!("{listen:?}"));
@@ -161,13 +171,13 @@
 
 /// Answers of a registry that votes alone and reaches no store.
 fn registry_answers(golden: &mut Golden) {
-    let hello = Hello { node: "core-1".into(), ip: IP.into(), role: Role::Scout, life: 1 };
-    let birth = Birth {
+    let hello = Hello { node: "core-1".into(), ip: IP.into(), role: Role::Registry, process_id: 1 };
+    let birth = RegistryConfig {
         hello,
-        first: true,
-        wall: 1_700_000_000,
-        heartbeat: 1_500_000,
-        bounds: Bounds::default(),
+        first_start: true,
+        time_of_day: 1_700_000_000,
+        heartbeat_interval: 1_500_000,
+        quota_bounds: QuotaBounds::default(),
         seeds: vec![IP.into()],
     };
     let mut registry = Registry::new(0, birth);
@@ -186,12 +196,14 @@
         ("read_without_store", "call=config.read", String::new()),
     ];
     for (number, (name, query, body)) in (0..).zip(calls) {
-        let call = dispatch::read("POST", dispatch::PATH, Some(query), body.as_bytes()).expect("a call");
+        let call =
+            control_call::parse("POST", control_call::PATH, Some(query), body.as_bytes()).expect("a call");
         let mut out = Vec::new();
         registry.call(100_000, number, call, &mut out);
         golden.text(name, &answer_to(number, &out));
     }
-    let stalled = dispatch::read("POST", dispatch::PATH, Some("call=config.update"), b"{}").expect("a call");
+    let stalled =
+        control_call::parse("POST", control_call::PATH, Some("call=config.update"), b"{}").expect("a call");
     let mut out = Vec::new();
     registry.call(9_000_000, 99, stalled, &mut out);
     golden.text("update_after_a_stall", &answer_to(99, &out));
@@ -200,61 +212,69 @@
 fn dispatch_answers(golden: &mut Golden) {
     let refused = [
         ("other_path", "POST", "/", "call=config.read", ""),
-        ("other_method", "GET", dispatch::PATH, "call=config.read", ""),
-        ("no_call", "POST", dispatch::PATH, "x=1", ""),
-        ("unknown_call", "POST", dispatch::PATH, "call=config", ""),
-        ("no_id", "POST", dispatch::PATH, "call=servers.leave", ""),
-        ("odd_id", "POST", dispatch::PATH, "call=servers.leave&of=%zz", ""),
-        ("heartbeat_without_fields", "POST", dispatch::PATH, "call=servers.heartbeat&of=i", "{}"),
-        ("heartbeat_no_json", "POST", dispatch::PATH, "call=servers.heartbeat&of=i", "{"),
+        ("other_method", "GET", control_call::PATH, "call=config.read", ""),
+        ("no_call", "POST", control_call::PATH, "x=1", ""),
+        ("unknown_call", "POST", control_call::PATH, "call=config", ""),
+        ("no_id", "POST", control_call::PATH, "call=servers.leave", ""),
+        ("odd_id", "POST", control_call::PATH, "call=servers.leave&of=%zz", ""),
+        ("heartbeat_without_fields", "POST", control_call::PATH, "call=servers.heartbeat&of=i", "{}"),
+        ("heartbeat_no_json", "POST", control_call::PATH, "call=servers.heartbeat&of=i", "{"),
     ];
     for (name, method, path, query, body) in refused {
-        let (status, why) = dispatch::read(method, path, Some(query), body.as_bytes()).expect_err("refused");
-        golden.text(name, &format!("{status} {}", why.replace('\n', " ")));
+        let error = control_call::parse(method, path, Some(query), body.as_bytes()).expect_err("rejected");
+        golden.text(name, &format!("{} {}", error.status(), error.to_string().replace('\n', " ")));
     }
 }
 
 /// Answers of a store that votes alone.
 struct LoneStore {
-    desk: Desk,
+    service: StoreService,
     now: u64,
     number: u64,
 }
 
 impl LoneStore {
     fn new() -> LoneStore {
-        let birth = StoreBirth { me: IP.into(), life: 1, losses: 0, first: true, seeds: vec![IP.into()] };
-        let hello = Hello { node: "core-1".into(), ip: IP.into(), role: Role::Comb, life: 1 };
+        let birth = StoreConfig {
+            name: IP.into(),
+            process_id: 1,
+            tolerated_losses: 0,
+            first_start: true,
+            seeds: vec![IP.into()],
+        };
+        let hello = Hello { node: "core-1".into(), ip: IP.into(), role: Role::ConfigStore, process_id: 1 };
         let mut out = Vec::new();
-        let desk = Desk::new(0, hello.clone(), birth, None, &mut out);
-        let mut store = LoneStore { desk, now: 0, number: 0 };
+        let service = StoreService::new(0, hello.clone(), birth, None, &mut out);
+        let mut store = LoneStore { service, now: 0, number: 0 };
         store.play(out);
-        let registry = Hello { role: Role::Scout, ..hello };
-        store.desk.said(store.now, 1, Speech::Hello(registry), &mut Vec::new());
+        let registry = Hello { role: Role::Registry, ..hello };
+        store.service.receive(store.now, 1, PeerMessage::Hello(registry), &mut Vec::new());
         store
     }
 
     /// Completes all writes, and returns the answers that were sent meanwhile.
-    fn play(&mut self, mut out: Vec<StoreOutput>) -> Vec<Answered> {
+    fn play(&mut self, mut out: Vec<StoreOutput>) -> Vec<CallReply> {
         let mut answers = Vec::new();
         for _ in 0..40 {
             for output in std::mem::take(&mut out) {
                 match output {
-                    StoreOutput::Write(number, _) => self.desk.written(self.now, number, &mut out),
-                    StoreOutput::Say(_, Speech::Answer(_, answered)) => answers.push(answered),
+                    StoreOutput::Write { id: number, .. } => {
+                        self.service.write_completed(self.now, number, &mut out)
+                    }
+                    StoreOutput::Send(_, PeerMessage::CallReply(_, answered)) => answers.push(answered),
                     _ => {}
                 }
             }
             self.now += 25_000;
-            self.desk.tick(self.now, &mut out);
+            self.service.tick(self.now, &mut out);
         }
         answers
     }
 
-    fn call(&mut self, passed: Passed) -> String {
+    fn call(&mut self, passed: ForwardedCall) -> String {
         self.number += 1;
         let mut out = Vec::new();
-        self.desk.said(self.now, 1, Speech::Pass(self.number, passed), &mut out);
+        self.service.receive(self.now, 1, PeerMessage::ForwardCall(self.number, passed), &mut out);
         let answers = self.play(out);
         answers
             .iter()
@@ -267,7 +287,7 @@
 fn store_answers(golden: &mut Golden) {
     let mut store = LoneStore::new();
     let mut update = |name: &str, body: &str| {
-        let answer = store.call(Passed::Update(body.as_bytes().to_vec()));
+        let answer = store.call(ForwardedCall::Update(body.as_bytes().to_vec()));
         golden.text(name, &answer.replace('\n', " "));
     };
     update("update", CONFIGURATION);
@@ -276,9 +296,9 @@
     update("update_unknown_service", &CONFIGURATION.replace(",8,\"s2\"", ",18,\"s9\""));
     update("update_no_json", "{");
     update("update_unknown_list", r#"{"upsert":{"route":{}}}"#);
-    golden.text("read", &store.call(Passed::Read));
-    store.desk.end(&mut Vec::new());
-    golden.text("update_while_ending", &store.call(Passed::Update(b"{}".to_vec())));
+    golden.text("read", &store.call(ForwardedCall::Read));
+    store.service.shut_down(&mut Vec::new());
+    golden.text("update_while_ending", &store.call(ForwardedCall::Update(b"{}".to_vec())));
 }
 
 #[gtest]
--- a/crates/compatibility/tests/stored_records.rs
+++ b/crates/compatibility/tests/stored_records.rs
@@ -6,11 +6,11 @@
 
 use bincode::config::standard;
 use googletest::prelude::*;
-use pinerelay_cells::server::Server;
-use pinerelay_comb::disk::Disk;
 use pinerelay_compatibility::{fixture, Golden};
-use pinerelay_dance::voter::{Change, Kept};
-use pinerelay_dance::{Ballot, Batch, Membership};
+use pinerelay_config_state::server::Server;
+use pinerelay_config_store::disk::{Disk, OpenedDisk};
+use pinerelay_consensus::{Ballot, Batch, Membership};
+use pinerelay_consensus::{PersistentState, StateChange};
 use pinerelay_succession::held::{Call, HeldOut};
 use pinerelay_succession::record::{Learned, Life, Reading, Record, Standing};
 
@@ -23,7 +23,7 @@
     let mut golden = Golden::file("stored_records.txt");
     golden.bytes("membership", &encoded(&samples::membership()));
     golden.bytes("batch", &encoded(&samples::batch()));
-    golden.bytes("server", &samples::server().item("server-1", 12).value.expect("a value"));
+    golden.bytes("server", &samples::server().to_item("server-1", 12).value.expect("a value"));
     golden.check().or_fail()
 }
 
@@ -35,7 +35,7 @@
     expect_that!(membership.expect("reads").0, eq(&samples::membership()));
     let batch = bincode::decode_from_slice::<Batch, _>(&recorded("batch"), standard());
     expect_that!(batch.expect("reads").0, eq(&samples::batch()));
-    expect_that!(Server::read(&recorded("server")), some(eq(&samples::server())));
+    expect_that!(Server::decode(&recorded("server")), some(eq(&samples::server())));
 }
 
 fn succession_record() -> Record {
@@ -75,21 +75,21 @@
 }
 
 /// What the fixtures hold: see `tests/fixtures/README.md`.
-fn expect_recorded(kept: &Kept) {
+fn expect_recorded(kept: &PersistentState) {
     expect_that!(kept.incarnation, some(eq(0xfedc_ba98_7654_3210)));
-    expect_that!(kept.whole, eq(true));
+    expect_that!(kept.is_complete, eq(true));
     expect_that!(kept.membership, eq(&samples::membership()));
-    expect_that!(kept.ceiling, eq(1_041));
-    expect_that!((kept.at, &kept.pending), eq((samples::ballot(), &Some(samples::batch()))));
+    expect_that!(kept.promise_ceiling, eq(1_041));
+    expect_that!((kept.accepted, &kept.pending), eq((samples::ballot(), &Some(samples::batch()))));
     let mut items = samples::items();
     items.sort_by(|a, b| a.key.cmp(&b.key));
-    expect_that!(kept.cells, eq(&items));
+    expect_that!(kept.items, eq(&items));
 }
 
 #[gtest]
 fn the_database_of_a_store_that_ended_is_read_with_its_promise_and_what_is_pending() {
     let folder = folder("ended", &[("store-ended.sqlite", "comb.sqlite")]);
-    let (_, kept, _) = Disk::open(&folder).expect("a disk");
+    let kept = Disk::open(&folder).expect("a disk").state;
     expect_recorded(&kept.expect("what was kept"));
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -98,20 +98,27 @@
 fn the_database_of_a_store_that_was_killed_is_read_with_what_its_write_ahead_log_holds() {
     let files = [("store-killed.sqlite", "comb.sqlite"), ("store-killed.sqlite-wal", "comb.sqlite-wal")];
     let folder = folder("killed", &files);
-    let (disk, kept, mut written) = Disk::open(&folder).expect("a disk");
+    let OpenedDisk { disk, state: kept, mut completed } = Disk::open(&folder).expect("a disk");
     expect_recorded(&kept.expect("what was kept"));
     // A later promise is added to what was there.
-    disk.write(1, Change { ceiling: Some(2_000), put: Some((Ballot(42, 1), None)), ..Change::default() });
-    expect_that!(written.blocking_recv(), some(eq(1)));
+    disk.write(
+        1,
+        StateChange {
+            promise_ceiling: Some(2_000),
+            accepted: Some((Ballot::new(42, 1), None)),
+            ..StateChange::default()
+        },
+    );
+    expect_that!(completed.blocking_recv(), some(eq(1)));
     drop(disk);
     let kept = loop {
         // The disk's thread closes the database once nobody can send to it.
         match Disk::open(&folder) {
-            Ok((_, Some(kept), _)) => break kept,
+            Ok(OpenedDisk { state: Some(kept), .. }) => break kept,
             _ => std::thread::yield_now(),
         }
     };
-    expect_that!((kept.ceiling, kept.at, kept.pending), eq(&(2_000, Ballot(42, 1), None)));
+    expect_that!((kept.promise_ceiling, kept.accepted, kept.pending), eq(&(2_000, Ballot::new(42, 1), None)));
     expect_that!(kept.membership, eq(&samples::membership()));
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/cells/examples/catch_up.rs
+++ b/crates/config-state/examples/catch_up.rs
@@ -1,12 +1,13 @@
 //! What it costs to catch up and to judge, in bytes and microseconds, at the target's size and at a small one.
 //!
-//! `cargo run --release -p pinerelay-cells --example catch_up`
+//! `cargo run --release -p pinerelay-config-state --example catch_up`
 
 use std::hint::black_box;
 use std::time::Instant;
 
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::{judge, Cells, Item, Key, Kind};
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::validation::{accept_update, IndexedItems};
+use pinerelay_config_state::{Item, ItemSet, Key, Kind};
 
 fn route(n: usize, revision: u64) -> Item {
     let text = format!(
@@ -15,7 +16,7 @@
         n % 97,
         n % 100
     );
-    Item::sourced(Key::new(Kind::Route, format!("route-{n}")), revision, Some(text.into_bytes()))
+    Item::with_revision(Key::new(Kind::Route, format!("route-{n}")), revision, Some(text.into_bytes()))
 }
 
 fn tenant(n: usize, revision: u64) -> Item {
@@ -23,21 +24,21 @@
         r#"{{"api_keys":["key-{n}-{:016x}"],"burst":40,"name":"tenant-{n}","rate":20,"revision":{revision}}}"#,
         n * 7_919
     );
-    Item::sourced(Key::new(Kind::Tenant, format!("tenant-{n}")), revision, Some(text.into_bytes()))
+    Item::with_revision(Key::new(Kind::Tenant, format!("tenant-{n}")), revision, Some(text.into_bytes()))
 }
 
 fn service(n: usize) -> Item {
     let text = format!(r#"{{"name":"service-{n}","revision":1}}"#);
-    Item::sourced(Key::new(Kind::Service, format!("service-{n}")), 1, Some(text.into_bytes()))
+    Item::with_revision(Key::new(Kind::Service, format!("service-{n}")), 1, Some(text.into_bytes()))
 }
 
 /// So many tenants and routes, and 100 services.
-fn copy(tenants: usize, routes: usize) -> Cells {
-    let mut cells = Cells::default();
-    cells.merge_all((0..100).map(service));
-    cells.merge_all((0..routes).map(|n| route(n, 1)));
-    cells.merge_all((0..tenants).map(|n| tenant(n, 1)));
-    cells
+fn copy(tenants: usize, routes: usize) -> ItemSet {
+    let mut item_set = ItemSet::default();
+    item_set.merge_all((0..100).map(service));
+    item_set.merge_all((0..routes).map(|n| route(n, 1)));
+    item_set.merge_all((0..tenants).map(|n| tenant(n, 1)));
+    item_set
 }
 
 fn bytes<T: bincode::Encode>(value: &T) -> usize {
@@ -51,12 +52,12 @@
 }
 
 /// The old one mends itself by the new one's word: a digest that differs, and all that follows.
-fn mend(old: &Cells, new: &Cells, what: &str) {
+fn mend(old: &ItemSet, new: &ItemSet, what: &str) {
     let (mut old, mut new) = (old.clone(), new.clone());
     let begun = Instant::now();
     let (mut all, mut items, mut most, mut messages) = (bytes(&new.digest()), 0, 0, 1);
     let (mut from, mut to) = (&mut old, &mut new);
-    let mut said = (Vec::new(), from.compare());
+    let mut said = (Vec::new(), from.sync_request());
     while !(said.0.is_empty() && said.1.is_empty()) {
         let size = [bytes(&said.0), bytes(&said.1)];
         all += size[0] + size[1];
@@ -64,7 +65,7 @@
         most = most.max(size[0] + size[1]);
         messages += 1;
         to.merge_all(said.0);
-        let answer = to.answer(&said.1);
+        let answer = to.sync_reply(&said.1);
         said = (answer.items, answer.parts);
         std::mem::swap(&mut from, &mut to);
     }
@@ -75,8 +76,8 @@
 
 /// The same over a link of 2 Mbit/s and 20 ms each way: how long it takes, and the longest that a heartbeat
 /// waits behind a message.
-fn mend_over_a_link(old: &Cells, new: &Cells, what: &str) {
-    let (mut copies, mut said) = ([old.clone(), new.clone()], (Vec::new(), old.compare()));
+fn mend_over_a_link(old: &ItemSet, new: &ItemSet, what: &str) {
+    let (mut copies, mut said) = ([old.clone(), new.clone()], (Vec::new(), old.sync_request()));
     let on_the_way = |bytes: usize| bytes as f64 / 250_000.0 + 0.02;
     let (mut now, mut longest, mut to) = (0.0, 0.0_f64, 1);
     while !(said.0.is_empty() && said.1.is_empty()) {
@@ -84,7 +85,7 @@
         let took = on_the_way(bytes(&said.0) + bytes(&said.1));
         (now, longest) = (now + took, longest.max(took));
         copies[to].merge_all(said.0);
-        let answer = copies[to].answer(&said.1);
+        let answer = copies[to].sync_reply(&said.1);
         said = (answer.items, answer.parts);
         to = 1 - to;
     }
@@ -100,11 +101,11 @@
 
 fn main() {
     let before = resident();
-    let mut dropped = Cells::default();
+    let mut dropped = ItemSet::default();
     for n in 0..100_000 {
-        dropped.merge(Item::sourced(Key::new(Kind::Tenant, format!("tenant-{n}")), 7, None));
+        dropped.merge(Item::with_revision(Key::new(Kind::Tenant, format!("tenant-{n}")), 7, None));
     }
-    let all: Vec<&Item> = dropped.all().collect();
+    let all: Vec<&Item> = dropped.iter().collect();
     println!(
         "1,000 dropped items: {} bytes in memory, {} bytes on the wire",
         (resident() - before) / 100,
@@ -122,33 +123,33 @@
         mend(&new, &changed(1), "one change");
         mend(&new, &changed(100), "100 changes");
         mend(&new, &changed(500), "500 changes");
-        mend(&Cells::default(), &new, "from nothing");
+        mend(&ItemSet::default(), &new, "from nothing");
         mend_over_a_link(&new, &changed(500), "500 changes");
-        mend_over_a_link(&Cells::default(), &new, "from nothing");
-        let mut cells = new.clone();
+        mend_over_a_link(&ItemSet::default(), &new, "from nothing");
+        let mut item_set = new.clone();
         let mut revision = 10;
         timed("merge of one changed tenant", 1_000, || {
             revision += 1;
-            cells.merge(tenant(all / 2, revision))
+            item_set.merge(tenant(all / 2, revision))
         });
-        timed("clone", 10, || cells.clone());
+        timed("clone", 10, || item_set.clone());
         let call = [tenant(7, 1_000_000)];
-        timed("judge::taken of one changed tenant", 10, || judge::taken(&cells, &call).expect("fits"));
-        timed("judge::Standing::new", 10, || judge::Standing::new(cells.clone()));
-        let standing = judge::Standing::new(cells.clone());
-        timed("judge::Standing::taken of one changed tenant", 10_000, || {
-            standing.taken(&call).expect("fits")
+        timed("accept_update of one changed tenant", 10, || accept_update(&item_set, &call).expect("fits"));
+        timed("IndexedItems::new", 10, || IndexedItems::new(item_set.clone()));
+        let standing = IndexedItems::new(item_set.clone());
+        timed("IndexedItems::taken of one changed tenant", 10_000, || {
+            standing.accept_update(&call).expect("fits")
         });
-        timed("Table::of", 10, || Table::of(&cells));
-        let mut table = Table::of(&cells);
+        timed("RoutingTable::from_items", 10, || RoutingTable::from_items(&item_set));
+        let mut table = RoutingTable::from_items(&item_set);
         timed("Table::change of one tenant", 1_000, || {
             revision += 1;
-            table.change(&tenant(all / 2, revision))
+            table.apply(&tenant(all / 2, revision))
         });
         timed("Table::change of one tenant, beside a clone that others hold", 100, || {
             let held = table.clone();
             revision += 1;
-            table.change(&tenant(all / 2, revision));
+            table.apply(&tenant(all / 2, revision));
             held
         });
     }
--- /dev/null
+++ b/crates/config-state/src/error.rs
@@ -0,0 +1,50 @@
+//! Why an operator's call or a server's heartbeat is rejected.
+
+use thiserror::Error;
+
+use crate::json::JsonError;
+
+/// What is wrong with a value.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum ValidationErrorKind {
+    /// It is invalid by itself, or beside what is live.
+    Invalid,
+    /// It may be valid, but another content was accepted under the same revision.
+    Conflict,
+}
+
+/// An invalid value in a call.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Error)]
+#[error("{location}: {reason}")]
+pub struct ValidationError {
+    /// A JSON pointer to the value; for an item that is live already, its kind and name.
+    pub location: String,
+    /// What is wrong, or what is wanted instead.
+    pub reason: String,
+    /// What kind of error it is.
+    pub kind: ValidationErrorKind,
+}
+
+impl ValidationError {
+    /// An invalid value.
+    pub fn invalid(location: impl Into<String>, reason: impl Into<String>) -> ValidationError {
+        let kind = ValidationErrorKind::Invalid;
+        ValidationError { location: location.into(), reason: reason.into(), kind }
+    }
+
+    /// A value that conflicts with what was accepted under the same revision.
+    pub fn conflict(location: impl Into<String>, reason: impl Into<String>) -> ValidationError {
+        ValidationError { kind: ValidationErrorKind::Conflict, ..ValidationError::invalid(location, reason) }
+    }
+
+    /// Whether another content was accepted under the same revision.
+    pub fn is_conflict(&self) -> bool {
+        self.kind == ValidationErrorKind::Conflict
+    }
+}
+
+impl From<JsonError> for ValidationError {
+    fn from(error: JsonError) -> ValidationError {
+        ValidationError::invalid("", error.to_string())
+    }
+}
--- /dev/null
+++ b/crates/config-state/src/execution.rs
@@ -0,0 +1,36 @@
+//! Whether a request may have been executed, and which answers and retries that allows.
+//!
+//! RFC 9110, section 9.2.2: a request that is not idempotent may be retried only if it is known that it was not executed.
+
+#[cfg(test)]
+mod tests;
+
+/// What is known of a request's execution by a server. It only ever grows: nothing takes back what was sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub enum ExecutionStatus {
+    /// Not executed, and it never will be: nothing was sent, or each server that had it has said that it did not execute it.
+    #[default]
+    NotExecuted,
+    /// It may have been executed, or may yet be.
+    MayHaveExecuted,
+    /// Executed: a server has answered it.
+    Executed,
+}
+
+impl ExecutionStatus {
+    /// What is known once another attempt's status is known as well.
+    #[must_use]
+    pub fn combine(self, other: ExecutionStatus) -> ExecutionStatus {
+        self.max(other)
+    }
+
+    /// Whether the request may be answered 429 or 503. Both promise that it was not executed and never will be.
+    pub fn allows_rejection(self) -> bool {
+        self == ExecutionStatus::NotExecuted
+    }
+
+    /// Whether the request may be sent to another server.
+    pub fn allows_retry(self, idempotent: bool) -> bool {
+        idempotent || self == ExecutionStatus::NotExecuted
+    }
+}
--- /dev/null
+++ b/crates/config-state/src/item.rs
@@ -0,0 +1,94 @@
+//! Versioned items, the unit of replication.
+
+use bincode::{Decode, Encode};
+
+use crate::hash;
+
+/// What an item describes. The order is part of the encoding on the wire and on disk.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+pub enum Kind {
+    /// A route of the configuration.
+    Route,
+    /// A tenant of the configuration.
+    Tenant,
+    /// A service of the configuration.
+    Service,
+    /// The configuration's only item of request limits.
+    Limits,
+    /// One incarnation of a backend server, as it last reported itself.
+    Server,
+    /// A node of this system.
+    Node,
+}
+
+impl Kind {
+    /// The kinds that make up the operator's configuration.
+    pub const CONFIG: [Kind; 4] = [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits];
+
+    /// Whether items of this kind belong to the operator's configuration.
+    pub fn is_config(self) -> bool {
+        Kind::CONFIG.contains(&self)
+    }
+}
+
+/// The identity of an item.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+pub struct Key {
+    /// What the item describes.
+    pub kind: Kind,
+    /// Its name, unique within its kind.
+    pub name: String,
+}
+
+impl Key {
+    /// The key of an item.
+    pub fn new(kind: Kind, name: impl Into<String>) -> Key {
+        Key { kind, name: name.into() }
+    }
+
+    /// A hash that stands for the key in digests and in heartbeats between registries. Equal in every process.
+    pub fn key_hash(&self) -> u64 {
+        hash::hash_parts(&[&[self.kind as u8], self.name.as_bytes()])
+    }
+}
+
+/// The version of an item. Versions of one item are totally ordered, so all replicas keep the same one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Encode, Decode)]
+pub struct Version {
+    /// The revision that the item's source assigned.
+    pub revision: u64,
+    /// Orders two versions of the same revision.
+    pub tie_breaker: u64,
+}
+
+impl Version {
+    /// A version of these parts.
+    pub fn new(revision: u64, tie_breaker: u64) -> Version {
+        Version { revision, tie_breaker }
+    }
+}
+
+/// A versioned item.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
+pub struct Item {
+    /// Its identity.
+    pub key: Key,
+    /// Its version.
+    pub version: Version,
+    /// Its content; `None` for a tombstone, which stays behind when an item is removed.
+    pub value: Option<Vec<u8>>,
+}
+
+impl Item {
+    /// An item with its source's revision. The content breaks ties; a tombstone is higher than any content.
+    pub fn with_revision(key: Key, revision: u64, value: Option<Vec<u8>>) -> Item {
+        let tie_breaker = value.as_ref().map_or(u64::MAX, |content| hash::hash_parts(&[content]) >> 1);
+        Item { key, version: Version { revision, tie_breaker }, value }
+    }
+
+    /// What the item contributes to the digest of each range that contains it.
+    pub(crate) fn digest(&self) -> u64 {
+        let Version { revision, tie_breaker } = self.version;
+        hash::mix64(self.key.key_hash() ^ hash::mix64(revision ^ hash::mix64(tie_breaker)))
+    }
+}
--- a/crates/cells/tests/hostile_json.rs
+++ b/crates/config-state/tests/hostile_json.rs
@@ -4,11 +4,12 @@
 use std::process::Command;
 
 use googletest::prelude::*;
-use pinerelay_cells::json::{self, JsonError};
-use pinerelay_cells::judge::{taken, Standing};
-use pinerelay_cells::routes::{Route, Table, Tenant};
-use pinerelay_cells::server::Beat;
-use pinerelay_cells::{call, Cells, Item, Key, Kind};
+use pinerelay_config_state::json::{self, JsonError};
+use pinerelay_config_state::resources::{Route, Tenant};
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::server::Heartbeat;
+use pinerelay_config_state::validation::{accept_update, IndexedItems};
+use pinerelay_config_state::{operator_call, Item, ItemSet, Key, Kind, ValidationError};
 
 /// Names the reader that a child process is to run.
 const CHILD: &str = "PINERELAY_TEST_READER";
@@ -24,16 +25,16 @@
         for times in [1_000, 100_000, 400_000] {
             let text = nested(open, times);
             match reader {
-                "call" => drop(call::read(&text)),
-                "beat" => drop(Beat::read(&text)),
-                "route" => drop(Route::read("r", &text)),
-                "tenant" => drop(Tenant::read("t", &text)),
+                "call" => drop(operator_call::parse_update(&text)),
+                "heartbeat" => drop(Heartbeat::parse(&text)),
+                "route" => drop(Route::parse("r", &text)),
+                "tenant" => drop(Tenant::parse("t", &text)),
                 "standing" => {
-                    let mut cells = Cells::default();
-                    cells.merge(Item::sourced(Key::new(Kind::Route, "r"), 1, Some(text)));
-                    drop(call::write(&cells));
-                    drop(Table::of(&cells));
-                    drop(Standing::new(cells));
+                    let mut item_set = ItemSet::default();
+                    item_set.merge(Item::with_revision(Key::new(Kind::Route, "r"), 1, Some(text)));
+                    drop(operator_call::render_configuration(&item_set));
+                    drop(RoutingTable::from_items(&item_set));
+                    drop(IndexedItems::new(item_set));
                 }
                 other => panic!("no reader {other}"),
             }
@@ -47,7 +48,7 @@
         return read_nested(&reader);
     }
     let program = std::env::current_exe().expect("this program");
-    for reader in ["call", "beat", "route", "tenant", "standing"] {
+    for reader in ["call", "heartbeat", "route", "tenant", "standing"] {
         let mut child = Command::new(&program);
         let child = child.args(["no_nesting_ends_a_process", "--exact"]).env(CHILD, reader);
         let ended = child.output().expect("a child process");
@@ -58,23 +59,27 @@
 #[gtest]
 fn a_text_at_the_bound_is_read_and_one_over_it_refused() {
     let deep = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
-    let most = json::CALL.depth;
-    expect_that!(json::parse(deep(most).as_bytes(), &json::CALL).is_ok(), eq(true));
-    let over = json::parse(deep(most + 1).as_bytes(), &json::CALL).map(drop);
-    expect_that!(over, err(eq(&JsonError::Deep { at: most, most })));
+    let most = json::OPERATOR_CALL.depth;
+    expect_that!(json::parse(deep(most).as_bytes(), &json::OPERATOR_CALL).is_ok(), eq(true));
+    let over = json::parse(deep(most + 1).as_bytes(), &json::OPERATOR_CALL).map(drop);
+    expect_that!(over, err(eq(&JsonError::TooDeep { at: most, most })));
     let hidden = format!("[\"{}\\\"[{{\"]", "[".repeat(most));
-    expect_that!(json::parse(hidden.as_bytes(), &json::CALL).is_ok(), eq(true), "brackets in a string");
+    expect_that!(
+        json::parse(hidden.as_bytes(), &json::OPERATOR_CALL).is_ok(),
+        eq(true),
+        "brackets in a string"
+    );
     let side_by_side = format!("[{}1]", "[[]],".repeat(most));
-    expect_that!(json::parse(side_by_side.as_bytes(), &json::CALL).is_ok(), eq(true));
-    let many = format!("[{}1]", "1,".repeat(json::BEAT.values));
+    expect_that!(json::parse(side_by_side.as_bytes(), &json::OPERATOR_CALL).is_ok(), eq(true));
+    let many = format!("[{}1]", "1,".repeat(json::HEARTBEAT.values));
     expect_that!(
-        json::parse(many.as_bytes(), &json::BEAT).map(drop),
-        err(eq(&JsonError::Many(json::BEAT.values)))
+        json::parse(many.as_bytes(), &json::HEARTBEAT).map(drop),
+        err(eq(&JsonError::TooManyValues(json::HEARTBEAT.values)))
     );
-    let long = format!("\"{}\"", "x".repeat(json::BEAT.bytes));
+    let long = format!("\"{}\"", "x".repeat(json::HEARTBEAT.bytes));
     expect_that!(
-        json::parse(long.as_bytes(), &json::BEAT).map(drop),
-        err(eq(&JsonError::Long(json::BEAT.bytes)))
+        json::parse(long.as_bytes(), &json::HEARTBEAT).map(drop),
+        err(eq(&JsonError::TooLong(json::HEARTBEAT.bytes)))
     );
 }
 
@@ -87,28 +92,31 @@
         r#"{"upsert" : {}, "remove":{"routes":[{"name":"a","revision":1,"name":"b"}]}}"#,
     ];
     for text in twice {
-        let unfit = call::read(text.as_bytes()).expect_err(text).to_string();
-        expect_that!(unfit, contains_substring("stands twice in one object"), "{text}");
+        let error = operator_call::parse_update(text.as_bytes()).expect_err(text).to_string();
+        expect_that!(error, contains_substring("stands twice in one object"), "{text}");
     }
     let columns =
         br#"{"upsert":{"services":{"column_names":["name","revision","name"],"records":[["a",1,"b"]]}}}"#;
-    expect_that!(call::read(columns).map_err(|unfit| unfit.at), err(eq("/upsert/services/column_names/2")));
+    expect_that!(
+        operator_call::parse_update(columns).map_err(|error| error.location),
+        err(eq("/upsert/services/column_names/2"))
+    );
     let wide = |last: &str| {
         let names: Vec<String> = (0..100).map(|n| format!("\"n{n}\":{n}")).collect();
-        json::check(format!("{{{},\"{last}\":0}}", names.join(",")).as_bytes(), &json::CALL)
+        json::check(format!("{{{},\"{last}\":0}}", names.join(",")).as_bytes(), &json::OPERATOR_CALL)
     };
     expect_that!(wide("n100"), ok(anything()));
     expect_that!(wide("n3"), err(anything()));
     expect_that!(wide("n73"), err(anything()));
     let apart = br#"[{"a":1},{"a":{"a":"a"}},"a"]"#;
-    expect_that!(json::check(apart, &json::CALL), ok(anything()));
+    expect_that!(json::check(apart, &json::OPERATOR_CALL), ok(anything()));
 }
 
 #[gtest]
 fn odd_numbers_and_texts_are_refused() {
     let call = |revision: &str, name: &str| {
         let body = format!("{{\"remove\":{{\"routes\":[{{\"name\":{name},\"revision\":{revision}}}]}}}}");
-        call::read(body.as_bytes()).map(|items| items.len())
+        operator_call::parse_update(body.as_bytes()).map(|items| items.len())
     };
     expect_that!(call("7", "\"r\""), ok(eq(&1)));
     expect_that!(call("18446744073709551615", "\"r\""), ok(eq(&1)));
@@ -135,7 +143,7 @@
     let at = body.iter().position(|&byte| byte == b'?').expect("the mark");
     for byte in [0xff, 0xc0, 0x80, 0x00, 0x1f] {
         body[at] = byte;
-        expect_that!(call::read(&body), err(anything()), "{byte:#x}");
+        expect_that!(operator_call::parse_update(&body), err(anything()), "{byte:#x}");
     }
 }
 
@@ -149,24 +157,24 @@
         "records":[["r",{revision},"a.example",{prefix},"safe","1s","s"]]}},
         "services":{{"column_names":["name","revision"],"records":[["s",{revision}]]}}}}}}"#
     );
-    call::read(body.as_bytes()).expect("a call")
+    operator_call::parse_update(body.as_bytes()).expect("a call")
 }
 
 #[gtest]
 fn what_no_request_can_hold_is_refused() {
     let judged = |tenant: &str, key: &str, prefix: &str| {
         let call = change(tenant, 1, key, prefix);
-        let whole = taken(&Cells::default(), &call);
-        expect_that!(Standing::default().taken(&call), eq(&whole));
-        whole.map(|items| items.len()).map_err(|unfit| unfit.to_string())
+        let whole = accept_update(&ItemSet::default(), &call);
+        expect_that!(IndexedItems::default().accept_update(&call), eq(&whole));
+        whole.map(|items| items.len()).map_err(|error| error.to_string())
     };
     expect_that!(judged("yefi830", "xd9dnn2ctnfzs989anu6", "/x/"), ok(eq(&3)));
     expect_that!(judged("A tenant, 7~", "a b=\u{e9}", "/x/%20;=@/"), ok(eq(&3)));
-    let long = "n".repeat(call::NAME_MOST + 1);
+    let long = "n".repeat(operator_call::MAX_NAME_LENGTH + 1);
     for tenant in ["caf\u{e9}", " a", "a ", "a\tb", "a\u{0}", "a\r\nX-Tenant: b", "\u{7f}", &long] {
         expect_that!(judged(tenant, "k", "/x/"), err(anything()), "{tenant:?}");
     }
-    let long = "k".repeat(pinerelay_cells::sendable::KEY_MOST + 1);
+    let long = "k".repeat(pinerelay_config_state::request_syntax::MAX_KEY_LENGTH + 1);
     for key in [" k", "k ", "\tk", "k\n", "k\u{0}", "k\u{7f}", "k\u{fffd}", &long] {
         expect_that!(judged("t", key, "/x/"), err(contains_substring("api_keys")), "{key:?}");
     }
@@ -178,38 +186,42 @@
 #[gtest]
 fn what_an_earlier_build_took_stands_and_is_acknowledged_again() {
     let old = change("caf\u{e9}", 5, "k\n", "/x y/");
-    let mut cells = Cells::default();
-    cells.merge_all(old.clone());
-    let standing = Standing::new(cells.clone());
-    expect_that!(taken(&cells, &old), ok(is_empty()));
-    expect_that!(standing.taken(&old), ok(is_empty()));
+    let mut item_set = ItemSet::default();
+    item_set.merge_all(old.clone());
+    let standing = IndexedItems::new(item_set.clone());
+    expect_that!(accept_update(&item_set, &old), ok(is_empty()));
+    expect_that!(standing.accept_update(&old), ok(is_empty()));
     let older = change("caf\u{e9}", 3, "k\n", "/x y/");
-    expect_that!(standing.taken(&older), ok(is_empty()));
+    expect_that!(standing.accept_update(&older), ok(is_empty()));
     let other = change("t2", 6, "k2", "/x/");
-    expect_that!(standing.taken(&other).map(|items| items.len()), ok(eq(&3)), "others are taken beside it");
-    expect_that!(taken(&cells, &other).map(|items| items.len()), ok(eq(&3)));
+    expect_that!(
+        standing.accept_update(&other).map(|items| items.len()),
+        ok(eq(&3)),
+        "others are taken beside it"
+    );
+    expect_that!(accept_update(&item_set, &other).map(|items| items.len()), ok(eq(&3)));
     let newer = change("caf\u{e9}", 7, "k", "/x/");
-    expect_that!(standing.taken(&newer), err(contains_display("X-Tenant")));
-    expect_that!(Table::of(&cells).named("caf\u{e9}"), some(anything()));
+    expect_that!(standing.accept_update(&newer), err(contains_display("X-Tenant")));
+    expect_that!(RoutingTable::from_items(&item_set).tenant_by_name("caf\u{e9}"), some(anything()));
 }
 
-fn contains_display(part: &'static str) -> impl for<'a> Matcher<&'a call::Unfit> {
-    predicate(move |unfit: &call::Unfit| unfit.to_string().contains(part))
+fn contains_display(part: &'static str) -> impl for<'a> Matcher<&'a ValidationError> {
+    predicate(move |error: &ValidationError| error.to_string().contains(part))
 }
 
 #[gtest]
 fn an_item_that_is_nested_too_deeply_does_not_keep_others_from_being_taken() {
     let deep = format!("{{\"x\":{}{}}}", "[".repeat(4_000), "]".repeat(4_000)).into_bytes();
     for kind in [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits] {
-        let mut cells = Cells::default();
-        cells.merge(Item::sourced(Key::new(kind, "deep"), 1, Some(deep.clone())));
+        let mut item_set = ItemSet::default();
+        item_set.merge(Item::with_revision(Key::new(kind, "deep"), 1, Some(deep.clone())));
         let call = change("t", 1, "k", "/x/");
-        expect_that!(taken(&cells, &call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
-        let mut standing = Standing::new(cells);
-        expect_that!(standing.taken(&call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
+        expect_that!(accept_update(&item_set, &call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
+        let mut standing = IndexedItems::new(item_set);
+        expect_that!(standing.accept_update(&call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
         standing.merge_all(call);
-        expect_that!(Table::of(standing.cells()).tenant("k"), some(anything()));
-        let drops = Item::sourced(Key::new(kind, "deep"), 2, None);
-        expect_that!(standing.taken(&[drops]).map(|items| items.len()), ok(eq(&1)), "{kind:?}");
+        expect_that!(RoutingTable::from_items(standing.items()).tenant_by_key("k"), some(anything()));
+        let drops = Item::with_revision(Key::new(kind, "deep"), 2, None);
+        expect_that!(standing.accept_update(&[drops]).map(|items| items.len()), ok(eq(&1)), "{kind:?}");
     }
 }
--- a/crates/cells/tests/table.rs
+++ b/crates/config-state/tests/routing_table.rs
@@ -1,8 +1,8 @@
 //! A table that takes changes one by one is that of all items.
 
 use googletest::prelude::*;
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::{Cells, Item, Key, Kind};
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::{Item, ItemSet, Key, Kind};
 use proptest::prelude::*;
 
 fn item() -> impl Strategy<Value = Item> {
@@ -25,27 +25,27 @@
             _ => Some(text.into_bytes()),
         };
         let name = if kind == Kind::Limits { "limits".into() } else { format!("n{name}") };
-        Item::sourced(Key::new(kind, name), revision, value)
+        Item::with_revision(Key::new(kind, name), revision, value)
     })
 }
 
 proptest! {
     #[test]
     fn changes_one_by_one_make_the_table_of_all(items in prop::collection::vec(item(), 0..60)) {
-        let (mut cells, mut table) = (Cells::default(), Table::default());
+        let (mut item_set, mut table) = (ItemSet::default(), RoutingTable::default());
         for item in items {
-            let (held, before) = (table.clone(), Table::of(&cells));
-            if cells.merge(item.clone()) {
-                table.change(&item);
+            let (held, before) = (table.clone(), RoutingTable::from_items(&item_set));
+            if item_set.merge(item.clone()) {
+                table.apply(&item);
             }
-            prop_assert_eq!(&table, &Table::of(&cells));
+            prop_assert_eq!(&table, &RoutingTable::from_items(&item_set));
             prop_assert_eq!(&held, &before, "what others hold stays");
             // Of several tenants that name a key, it is the newest's.
-            let version = |name: &str| cells.get(&Key::new(Kind::Tenant, name)).map(|item| item.version);
+            let version = |name: &str| item_set.get(&Key::new(Kind::Tenant, name)).map(|item| item.version);
             for key in ["k0", "k1", "k2"] {
-                let named = table.tenants().iter().filter(|tenant| tenant.keys.iter().any(|k| k == key));
+                let named = table.tenants().iter().filter(|tenant| tenant.api_keys.iter().any(|k| k == key));
                 let newest = named.clone().map(|tenant| version(&tenant.name)).max();
-                prop_assert_eq!(table.tenant(key).map(|tenant| version(&tenant.name)), newest);
+                prop_assert_eq!(table.tenant_by_key(key).map(|tenant| version(&tenant.name)), newest);
             }
         }
     }
@@ -53,11 +53,11 @@
 
 #[gtest]
 fn an_empty_table_is_empty() {
-    let mut table = Table::default();
-    let item = Item::sourced(Key::new(Kind::Tenant, "t"), 1, Some(br#"{"api_keys":["k"]}"#.to_vec()));
-    table.change(&item);
-    expect_that!(table.tenant("k").is_some(), eq(true));
-    table.change(&Item::sourced(item.key, 2, None));
-    expect_that!(table, eq(&Table::default()));
-    expect_that!(table.tenant("k"), none());
+    let mut table = RoutingTable::default();
+    let item = Item::with_revision(Key::new(Kind::Tenant, "t"), 1, Some(br#"{"api_keys":["k"]}"#.to_vec()));
+    table.apply(&item);
+    expect_that!(table.tenant_by_key("k").is_some(), eq(true));
+    table.apply(&Item::with_revision(item.key, 2, None));
+    expect_that!(table, eq(&RoutingTable::default()));
+    expect_that!(table.tenant_by_key("k"), none());
 }
--- a/crates/cells/tests/judge.rs
+++ b/crates/config-state/tests/validation.rs
@@ -1,8 +1,8 @@
 //! A call is judged by index as it is by all that stands.
 
 use googletest::prelude::*;
-use pinerelay_cells::judge::{taken, together, Standing};
-use pinerelay_cells::{Cells, Item, Key, Kind};
+use pinerelay_config_state::validation::{accept_update, check_references, IndexedItems};
+use pinerelay_config_state::{Item, ItemSet, Key, Kind};
 use proptest::prelude::*;
 
 /// A few names, so that items clash often; some can't be read.
@@ -25,7 +25,7 @@
                 3 => Some(b"{".to_vec()),
                 _ => Some(text.into_bytes()),
             };
-            Item::sourced(Key::new(kind, format!("n{name}")), revision, value)
+            Item::with_revision(Key::new(kind, format!("n{name}")), revision, value)
         },
     )
 }
@@ -40,42 +40,42 @@
         settled in 0..30_usize,
     ) {
         // At times what stands does not fit, or can't be read: that no call is taken on top of it is the same, too.
-        let mut cells = Cells::default();
+        let mut item_set = ItemSet::default();
         if calls.len() % 4 == 0 {
-            cells.merge_all(unchecked);
+            item_set.merge_all(unchecked);
         }
-        let mut standing = Standing::new(cells.clone());
+        let mut standing = IndexedItems::new(item_set.clone());
         for call in &calls[..settled.min(calls.len())] {
-            let (all, by_index) = (taken(&cells, call), standing.taken(call));
+            let (all, by_index) = (accept_update(&item_set, call), standing.accept_update(call));
             prop_assert_eq!(by_index.as_ref().ok(), all.as_ref().ok(), "{:?}", all);
-            prop_assert_eq!(by_index.is_err_and(|e| e.conflict), all.as_ref().is_err_and(|e| e.conflict));
+            prop_assert_eq!(by_index.is_err_and(|e| e.is_conflict()), all.as_ref().is_err_and(|e| e.is_conflict()));
             let newer = all.unwrap_or_default();
-            cells.merge_all(newer.iter().cloned());
+            item_set.merge_all(newer.iter().cloned());
             standing.merge_all(newer);
         }
         // The rest as one turn's, over what is settled.
         let mut turn = standing.overlay();
         for call in &calls[settled.min(calls.len())..] {
-            let all = taken(&cells, call);
-            prop_assert_eq!(turn.taken(call).ok(), all.clone().ok(), "{:?}", all);
+            let all = accept_update(&item_set, call);
+            prop_assert_eq!(turn.accept_update(call).ok(), all.clone().ok(), "{:?}", all);
             let newer = all.unwrap_or_default();
-            cells.merge_all(newer.iter().cloned());
+            item_set.merge_all(newer.iter().cloned());
             turn.merge_all(newer);
         }
-        prop_assert!(turn.to_cells() == cells);
+        prop_assert!(turn.to_item_set() == item_set);
     }
 
     #[test]
     fn an_unfit_call_is_told_a_fault_that_it_has(call in prop::collection::vec(item(), 0..9)) {
-        if let Err(unfit) = Standing::default().taken(&call) {
-            let mut cells = Cells::default();
+        if let Err(error) = IndexedItems::default().accept_update(&call) {
+            let mut item_set = ItemSet::default();
             let of = |named: &str| {
                 let (kind, name) = named.split_once(' ').expect("kind and name");
                 call.iter().any(|i| format!("{:?}", i.key.kind) == kind && i.key.name == name)
             };
-            prop_assert!(of(unfit.at.split('/').next().expect("a place")), "{}", unfit);
-            cells.merge_all(call.clone());
-            prop_assert!(unfit.conflict || call.iter().any(|i| pinerelay_cells::judge::item(i).is_err()) || together(&cells).is_err());
+            prop_assert!(of(error.location.split('/').next().expect("a place")), "{}", error);
+            item_set.merge_all(call.clone());
+            prop_assert!(error.is_conflict() || call.iter().any(|i| pinerelay_config_state::validation::check_item(i).is_err()) || check_references(&item_set).is_err());
         }
     }
 }
@@ -84,12 +84,12 @@
 fn a_fault_of_what_stands_is_told_and_mended_by_a_call() {
     let tenant = |name: &str, revision, key: &str| {
         let text = format!(r#"{{"api_keys":["{key}"]}}"#).into_bytes();
-        Item::sourced(Key::new(Kind::Tenant, name), revision, Some(text))
+        Item::with_revision(Key::new(Kind::Tenant, name), revision, Some(text))
     };
-    let mut cells = Cells::default();
-    cells.merge_all([tenant("a", 1, "k"), tenant("b", 1, "k")]);
-    let standing = Standing::new(cells);
-    let unfit = standing.taken(&[tenant("c", 1, "x")]).expect_err("what stands does not fit");
-    expect_that!(unfit.to_string(), eq("Tenant b/api_keys: a has the same key"));
-    expect_that!(standing.taken(&[tenant("b", 2, "y")]), ok(len(eq(1))));
+    let mut item_set = ItemSet::default();
+    item_set.merge_all([tenant("a", 1, "k"), tenant("b", 1, "k")]);
+    let standing = IndexedItems::new(item_set);
+    let error = standing.accept_update(&[tenant("c", 1, "x")]).expect_err("what stands does not fit");
+    expect_that!(error.to_string(), eq("Tenant b/api_keys: a has the same key"));
+    expect_that!(standing.accept_update(&[tenant("b", 2, "y")]), ok(len(eq(1))));
 }
--- /dev/null
+++ b/crates/config-store/src/main.rs
@@ -0,0 +1,9 @@
+//! Starts the store of the configuration.
+
+use std::process::ExitCode;
+
+use pinerelay_node_runtime::command::run_program;
+
+fn main() -> ExitCode {
+    run_program("config-store", "keeps the gateway's configuration", pinerelay_config_store::run::run)
+}
--- /dev/null
+++ b/crates/config-store/src/run.rs
@@ -0,0 +1,165 @@
+//! The running store: its state machine joined to links and disk.
+
+use std::collections::BTreeMap;
+use std::error::Error;
+use std::net::Ipv4Addr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use pinerelay_config_state::hash;
+use pinerelay_consensus::{Micros, StoreConfig};
+use pinerelay_node_runtime::internal_port;
+use pinerelay_node_runtime::settings::Settings;
+use pinerelay_node_runtime::settings_watch;
+use pinerelay_peer_link::link::{ConnectionId, LinkEvent, LinkEvents, LinkHandle, Links};
+use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, Role};
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::{sleep_until, Instant};
+
+use crate::disk::{Disk, OpenedDisk};
+use crate::service::{Output, StoreService};
+
+/// The interval of ticks while a call is under way.
+const BUSY_TICK: Duration = Duration::from_millis(25);
+/// The interval of ticks otherwise.
+const IDLE_TICK: Duration = Duration::from_millis(150);
+/// At a planned shutdown calls under way have so long to end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// The store with what it is joined to.
+struct RunningStore {
+    service: StoreService,
+    links: Rc<Links>,
+    disk: Disk,
+    settings: Settings,
+    /// Links to the stores that it has to reach.
+    store_links: BTreeMap<String, LinkHandle>,
+    started: Instant,
+}
+
+/// Runs a store until SIGTERM. Calls under way are answered first, for at most 0.6 s.
+///
+/// # Errors
+/// If the settings name no folder, or if the disk or the address of its links cannot be used.
+pub async fn run(path: PathBuf, settings: Settings) -> Result<(), Box<dyn Error>> {
+    let folder = settings.data_dir.clone().ok_or("data_dir: a folder is wanted: this role keeps files")?;
+    let OpenedDisk { disk, state, completed } = Disk::open(&folder)?;
+    match &state {
+        Some(state) => log::info!("starts with {} items, round {}", state.items.len(), state.accepted.round),
+        None => log::info!("starts with an empty disk"),
+    }
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let process_id = hash::hash_parts(&[
+        settings.node.as_bytes(),
+        &now.as_nanos().to_le_bytes(),
+        &std::process::id().to_le_bytes(),
+    ]);
+    let ip = settings.ip.to_string();
+    let config = StoreConfig {
+        name: ip.clone(),
+        process_id,
+        tolerated_losses: settings.tolerate.machines,
+        first_start: settings.first_start,
+        seeds: settings.seeds().iter().map(Ipv4Addr::to_string).collect(),
+    };
+    let (links, events) = Links::new();
+    links.listen(settings.internal_address(settings.ip, internal_port::CONFIG_STORE))?;
+    let hello = Hello { node: settings.node.clone(), ip, role: Role::ConfigStore, process_id };
+    let mut outputs = Vec::new();
+    let service = StoreService::new(now.as_secs(), hello, config, state, &mut outputs);
+    let store_links = BTreeMap::new();
+    let mut store = RunningStore { service, links, disk, settings, store_links, started: Instant::now() };
+    store.carry_out(outputs);
+    // Nothing in the settings changes while a store runs but its seeds, and by then it knows the voters.
+    tokio::task::spawn_local(settings_watch::watch(path, |_| log::info!("the settings file has changed")));
+    store.event_loop(events, completed).await
+}
+
+impl RunningStore {
+    async fn event_loop(
+        mut self,
+        mut events: LinkEvents,
+        mut completed: UnboundedReceiver<u64>,
+    ) -> Result<(), Box<dyn Error>> {
+        let mut terminate = signal(SignalKind::terminate())?;
+        let mut next_tick = Instant::now();
+        let mut shutdown_by: Option<Instant> = None;
+        loop {
+            self.update_links();
+            if shutdown_by.is_some_and(|by| self.service.is_idle() || Instant::now() >= by) {
+                return Ok(());
+            }
+            tokio::select! {
+                biased;
+                _ = terminate.recv(), if shutdown_by.is_none() => {
+                    log::info!("shuts down as planned");
+                    shutdown_by = Some(Instant::now() + SHUTDOWN_TIMEOUT);
+                    self.with_service(|service, _, out| service.shut_down(out));
+                }
+                Some(id) = completed.recv() => {
+                    self.disk.completed(id);
+                    self.with_service(|service, now, out| service.write_completed(now, id, out));
+                }
+                Some(event) = events.recv() => self.on_event(event),
+                () = sleep_until(next_tick) => {
+                    self.with_service(|service, now, out| service.tick(now, out));
+                    let interval = if self.service.is_busy() { BUSY_TICK } else { IDLE_TICK };
+                    next_tick = Instant::now() + interval;
+                }
+            }
+            if self.service.is_busy() {
+                next_tick = next_tick.min(Instant::now() + BUSY_TICK);
+            }
+        }
+    }
+
+    /// Keeps links to the stores that it has to reach.
+    fn update_links(&mut self) {
+        let peers = self.service.store().peers();
+        self.store_links.retain(|name, _| peers.contains(name));
+        for name in peers {
+            let Ok(machine) = name.parse() else { continue };
+            let address = self.settings.internal_address(machine, internal_port::CONFIG_STORE);
+            self.store_links.entry(name).or_insert_with(|| self.links.connect(address));
+        }
+    }
+
+    fn on_event(&mut self, event: LinkEvent) {
+        if let LinkEvent::Received(connection, PeerMessage::MetricsRequest) = event {
+            return self.send_metrics(connection);
+        }
+        self.with_service(|service, now, out| match event {
+            LinkEvent::Connected(connection, _) => service.connected(connection, out),
+            LinkEvent::Received(connection, message) => service.receive(now, connection, message, out),
+            LinkEvent::Disconnected(connection) => service.disconnected(now, connection, out),
+        });
+    }
+
+    fn send_metrics(&self, connection: ConnectionId) {
+        let zone = &self.settings.zone;
+        let mut metrics = vec![Metric::new(format!("config_store_info{{zone=\"{zone}\"}}"), 1.0)];
+        metrics.extend(self.service.metrics());
+        metrics.extend(self.links.metrics(Role::ConfigStore.name()));
+        metrics.extend(self.disk.metrics());
+        self.links.send(connection, &PeerMessage::Metrics(metrics));
+    }
+
+    fn with_service(&mut self, act: impl FnOnce(&mut StoreService, Micros, &mut Vec<Output>)) {
+        let mut outputs = Vec::new();
+        act(&mut self.service, self.started.elapsed().as_micros() as Micros, &mut outputs);
+        self.carry_out(outputs);
+    }
+
+    fn carry_out(&mut self, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Send(connection, message) => self.links.send(connection, &message),
+                Output::Broadcast(connections, message) => self.links.send_all(connections, &message),
+                Output::Close(connection) => self.links.close(connection),
+                Output::Write { id, change } => self.disk.write(id, change),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/config-store/src/service.rs
@@ -0,0 +1,487 @@
+//! The store's state machine with the processes that it is linked to: events of links go in, what is to be sent and written
+//! comes out.
+
+use std::collections::BTreeMap;
+
+use pinerelay_config_state::anti_entropy::{fits_one_message, SyncPart};
+use pinerelay_config_state::operator_call::parse_update;
+use pinerelay_config_state::server::Server;
+use pinerelay_config_state::{Item, ItemSet, Key, Kind};
+use pinerelay_consensus::{
+    Input, Membership, Message, Micros, Output as StoreOutput, PersistentState, Reply, Request, RequestId,
+    StateChange, Store, StoreConfig,
+};
+use pinerelay_peer_link::link::{ConnectionId, KEEPALIVE_INTERVAL};
+use pinerelay_peer_link::message::{
+    CallReply, ForwardedCall, Hello, Metric, PeerMessage, Role, CONFIG_REALM,
+};
+
+/// A gap between two ticks after which the process has stalled.
+const STALL: Micros = 250_000;
+/// For so long after a stall a call may have waited meanwhile. With the time that a store takes for a call it is no more than
+/// the second after which callers go elsewhere.
+const AFTER_STALL: Micros = 150_000;
+/// The name of the item that holds the machines of all proxies.
+const PROXIES_ITEM: &str = "proxies";
+/// The number of writes that nothing waits for.
+const UNAWAITED_WRITE: u64 = 0;
+
+/// What the store wants done.
+#[derive(Debug, PartialEq)]
+pub enum Output {
+    /// Send a message on a connection.
+    Send(ConnectionId, PeerMessage),
+    /// Send the same message on many connections.
+    Broadcast(Vec<ConnectionId>, PeerMessage),
+    /// Close a connection: what arrived on it makes no sense.
+    Close(ConnectionId),
+    /// Write a change after all before it; [`StoreService::write_completed`] reports its end.
+    Write {
+        /// Identifies the write.
+        id: u64,
+        /// The change.
+        change: StateChange,
+    },
+}
+
+/// What was last sent to the registries about the store.
+#[derive(Debug, Clone, PartialEq)]
+struct Status {
+    membership: Membership,
+    is_complete: bool,
+    is_current: bool,
+}
+
+/// A call that a registry has forwarded.
+#[derive(Debug, Clone, Copy)]
+struct ForwardedFrom {
+    connection: ConnectionId,
+    /// The registry's number of the call.
+    number: u64,
+}
+
+/// The machines of all proxies, as the registry of this machine has told.
+#[derive(Debug, Default)]
+struct ProxyList {
+    /// How often it has changed.
+    revision: u64,
+    machines: Vec<String>,
+}
+
+impl ProxyList {
+    fn from_item(item: Item) -> ProxyList {
+        let text = String::from_utf8(item.value.unwrap_or_default()).unwrap_or_default();
+        ProxyList { revision: item.version.revision, machines: text.lines().map(String::from).collect() }
+    }
+
+    fn to_item(&self) -> Item {
+        let text = self.machines.join("\n").into_bytes();
+        Item::with_revision(Key::new(Kind::Node, PROXIES_ITEM), self.revision, Some(text))
+    }
+}
+
+/// A store and its connections.
+pub struct StoreService {
+    store: Store,
+    /// The items of servers that the machine's registry knows. They are kept in case all processes lose their memory at once,
+    /// and never waited for.
+    runtime_items: ItemSet,
+    /// Those of them that were not given to the disk yet.
+    unwritten_items: Vec<Item>,
+    proxies: ProxyList,
+    own_hello: Hello,
+    /// The time of day when the process started, in seconds.
+    started_at: u64,
+    /// The processes at the other ends, once they have introduced themselves.
+    peers: BTreeMap<ConnectionId, Hello>,
+    /// Calls that registries have forwarded.
+    calls: BTreeMap<RequestId, ForwardedFrom>,
+    last_call: RequestId,
+    /// Writes that have not ended.
+    open_writes: usize,
+    sent_status: Option<Status>,
+    next_keepalive: Micros,
+    last_tick: Micros,
+    /// When the process went on after its last stall.
+    resumed_at: Option<Micros>,
+    is_shutting_down: bool,
+}
+
+impl StoreService {
+    /// A store with what its disk holds. `time_of_day` is the time now, in seconds; all other times count from now.
+    pub fn new(
+        time_of_day: u64,
+        own_hello: Hello,
+        config: StoreConfig,
+        mut state: Option<PersistentState>,
+        out: &mut Vec<Output>,
+    ) -> StoreService {
+        let (mut runtime_items, mut proxies) = (ItemSet::default(), ProxyList::default());
+        if let Some(state) = &mut state {
+            let items = std::mem::take(&mut state.items).into_iter();
+            let (config_items, others): (Vec<Item>, Vec<Item>) =
+                items.partition(|item| item.key.kind.is_config());
+            state.items = config_items;
+            runtime_items.merge_all(others);
+            if let Some(item) = runtime_items.get(&Key::new(Kind::Node, PROXIES_ITEM)).cloned() {
+                runtime_items.remove(&item.key);
+                proxies = ProxyList::from_item(item);
+            }
+            runtime_items.remove_if(|item| Server::is_expired_tombstone(item, time_of_day));
+        }
+        let mut first_outputs = Vec::new();
+        let mut service = StoreService {
+            store: Store::new(config, state, &mut first_outputs),
+            runtime_items,
+            unwritten_items: Vec::new(),
+            proxies,
+            own_hello,
+            started_at: time_of_day,
+            peers: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            last_call: 0,
+            open_writes: 0,
+            sent_status: None,
+            next_keepalive: 0,
+            last_tick: 0,
+            resumed_at: None,
+            is_shutting_down: false,
+        };
+        service.carry_out(first_outputs, out);
+        service
+    }
+
+    /// The items of servers that it keeps.
+    pub fn runtime_items(&self) -> &ItemSet {
+        &self.runtime_items
+    }
+
+    /// The store.
+    pub fn store(&self) -> &Store {
+        &self.store
+    }
+
+    /// Whether a call is under way.
+    pub fn is_busy(&self) -> bool {
+        !self.calls.is_empty()
+    }
+
+    /// Whether neither calls nor writes are under way.
+    pub fn is_idle(&self) -> bool {
+        self.calls.is_empty() && self.open_writes == 0
+    }
+
+    /// Begins a planned shutdown: no further call is taken.
+    pub fn shut_down(&mut self, out: &mut Vec<Output>) {
+        self.is_shutting_down = true;
+        out.push(Output::Broadcast(self.peers.keys().copied().collect(), PeerMessage::Goodbye));
+    }
+
+    /// A connection has come up.
+    pub fn connected(&mut self, connection: ConnectionId, out: &mut Vec<Output>) {
+        out.push(Output::Send(connection, PeerMessage::Hello(self.own_hello.clone())));
+    }
+
+    /// A connection has gone.
+    pub fn disconnected(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<Output>) {
+        self.peers.remove(&connection);
+        let from_connection = self.calls.iter().filter(|(_, from)| from.connection == connection);
+        let open: Vec<RequestId> = from_connection.map(|(&id, _)| id).collect();
+        for id in open {
+            self.calls.remove(&id);
+            self.step(now, Input::Cancel(id), out);
+        }
+    }
+
+    /// A write has ended: its change is durable.
+    pub fn write_completed(&mut self, now: Micros, id: u64, out: &mut Vec<Output>) {
+        self.open_writes = self.open_writes.saturating_sub(1);
+        self.step(now, Input::WriteCompleted { id, succeeded: true }, out);
+        self.send_changed_status(now, out);
+    }
+
+    /// Time has passed.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if now > self.last_tick + STALL {
+            self.resumed_at = Some(now);
+        }
+        self.last_tick = now;
+        self.step(now, Input::Tick, out);
+        if now < self.next_keepalive {
+            return self.send_changed_status(now, out);
+        }
+        self.next_keepalive = now + KEEPALIVE_INTERVAL.as_micros() as Micros;
+        self.send_status(self.status(now), out);
+        out.push(Output::Broadcast(self.connections_of(Role::ConfigStore), PeerMessage::KeepAlive));
+        self.write_runtime_items(now, out);
+    }
+
+    /// A message has arrived on a connection.
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        message: PeerMessage,
+        out: &mut Vec<Output>,
+    ) {
+        match (message, self.peers.get(&connection).cloned()) {
+            (PeerMessage::Hello(hello), None) => self.on_hello(connection, hello, out),
+            // A connection belongs to one process at each end.
+            (PeerMessage::Hello(_), Some(_)) => return out.push(Output::Close(connection)),
+            (_, None) => out.push(Output::Close(connection)),
+            (message, Some(peer)) => self.dispatch(now, connection, &peer, message, out),
+        }
+        self.send_changed_status(now, out);
+    }
+
+    fn on_hello(&mut self, connection: ConnectionId, hello: Hello, out: &mut Vec<Output>) {
+        if hello.role == Role::Registry {
+            self.sent_status = None;
+            if hello.ip == self.own_hello.ip {
+                let proxies = PeerMessage::KnownProxies(self.proxies.machines.clone());
+                out.push(Output::Send(connection, proxies));
+            }
+        }
+        self.peers.insert(connection, hello);
+    }
+
+    fn dispatch(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        peer: &Hello,
+        message: PeerMessage,
+        out: &mut Vec<Output>,
+    ) {
+        match (peer.role, message) {
+            (Role::ConfigStore, PeerMessage::Consensus(message)) => {
+                self.step(now, Input::Message { from: peer.ip.clone(), message }, out);
+            }
+            (Role::Registry, PeerMessage::KnownProxies(machines)) => self.on_known_proxies(peer, machines),
+            (Role::Registry, PeerMessage::Sync { realm, items, parts }) => {
+                self.on_sync(now, connection, peer, realm, items, &parts, out);
+            }
+            (Role::Registry, PeerMessage::Update(items)) => {
+                self.merge(now, &peer.ip, items, out);
+            }
+            (Role::Registry, PeerMessage::ConfirmCurrent(asked_at)) => {
+                self.on_confirm_current(now, connection, asked_at, out);
+            }
+            (Role::Registry, PeerMessage::ForwardCall(number, call)) => {
+                self.on_call(now, ForwardedFrom { connection, number }, call, out);
+            }
+            _ => {}
+        }
+    }
+
+    fn on_known_proxies(&mut self, peer: &Hello, machines: Vec<String>) {
+        if peer.ip == self.own_hello.ip && machines != self.proxies.machines {
+            self.proxies = ProxyList { revision: self.proxies.revision + 1, machines };
+            self.unwritten_items.push(self.proxies.to_item());
+        }
+    }
+
+    #[allow(clippy::too_many_arguments, reason = "the fields of one message and where it came from")]
+    fn on_sync(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        peer: &Hello,
+        realm: u8,
+        items: Vec<Item>,
+        parts: &[SyncPart],
+        out: &mut Vec<Output>,
+    ) {
+        // A registry may have committed items that this store has missed.
+        let goes_on = items.is_empty() || self.merge(now, &peer.ip, items, out);
+        let own_items = if realm == CONFIG_REALM { self.store.items() } else { &self.runtime_items };
+        let reply = PeerMessage::sync_reply(own_items, realm, parts).filter(|_| goes_on);
+        out.extend(reply.map(|reply| Output::Send(connection, reply)));
+    }
+
+    /// Answers with what is left of the lease, if the replica is current.
+    fn on_confirm_current(
+        &self,
+        now: Micros,
+        connection: ConnectionId,
+        asked_at: u64,
+        out: &mut Vec<Output>,
+    ) {
+        if self.store.is_current(now) {
+            let (epoch, digest) = (self.store.membership().epoch, self.store.items().digest());
+            let lease_left = self.store.lease_left(now);
+            let current = PeerMessage::Current { asked_at, epoch, digest, lease_left };
+            out.push(Output::Send(connection, current));
+        }
+    }
+
+    fn on_call(&mut self, now: Micros, from: ForwardedFrom, call: ForwardedCall, out: &mut Vec<Output>) {
+        match self.to_request(now, call) {
+            Ok(request) => {
+                self.last_call += 1;
+                self.calls.insert(self.last_call, from);
+                self.step(now, Input::Request { id: self.last_call, request }, out);
+            }
+            Err(reply) => {
+                out.push(Output::Send(from.connection, PeerMessage::CallReply(from.number, reply)));
+            }
+        }
+    }
+
+    /// The request of a call, or the reply if it is rejected at once.
+    fn to_request(&self, now: Micros, call: ForwardedCall) -> Result<Request, CallReply> {
+        if self.is_shutting_down {
+            return Err(CallReply::error(503, "the store ends"));
+        }
+        let ForwardedCall::Update(body) = call else { return Ok(Request::Read) };
+        // The caller of an update may have asked elsewhere since it was sent, and been rejected there.
+        if self.may_have_waited(now) {
+            return Err(CallReply::error(503, "the store has stood still"));
+        }
+        let items = parse_update(&body).map_err(|error| CallReply::error(400, &error.to_string()))?;
+        Ok(Request::Update(items))
+    }
+
+    /// Whether what arrives may have waited while the process had stalled.
+    fn may_have_waited(&self, now: Micros) -> bool {
+        now > self.last_tick + STALL || self.resumed_at.is_some_and(|at| now < at + AFTER_STALL)
+    }
+
+    /// Takes over a registry's items; returns whether any of them was new.
+    fn merge(&mut self, now: Micros, from: &str, items: Vec<Item>, out: &mut Vec<Output>) -> bool {
+        let (config_items, others): (Vec<_>, Vec<_>) =
+            items.into_iter().partition(|item| item.key.kind.is_config());
+        let time_of_day = self.time_of_day(now);
+        let others = others.into_iter().filter(|item| !Server::is_expired_tombstone(item, time_of_day));
+        let others = self.runtime_items.merge_all(others);
+        let digest = self.store.items().digest();
+        if !config_items.is_empty() {
+            let message = Message::Update(config_items);
+            self.step(now, Input::Message { from: from.into(), message }, out);
+        }
+        let has_new = !others.is_empty() || self.store.items().digest() != digest;
+        self.unwritten_items.extend(others);
+        has_new
+    }
+
+    /// Metrics of the store.
+    pub fn metrics(&self) -> Vec<Metric> {
+        let is_complete = self.sent_status.as_ref().is_some_and(|status| status.is_complete);
+        vec![
+            Metric::new("config_store_items", self.store.items().len() as f64),
+            Metric::flag("config_store_complete", self.store.is_complete()),
+            Metric::flag("config_store_complete_reported", is_complete),
+            Metric::new("config_store_open_writes", self.open_writes as f64),
+            Metric::new("config_store_open_calls", self.calls.len() as f64),
+            Metric::new("config_store_calls_total", self.last_call as f64),
+        ]
+    }
+
+    fn status(&self, now: Micros) -> Status {
+        Status {
+            membership: self.store.membership().clone(),
+            is_complete: self.store.is_complete(),
+            is_current: self.store.is_current(now),
+        }
+    }
+
+    /// Sends the store's status to the registries if it has changed.
+    fn send_changed_status(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let status = self.status(now);
+        if self.sent_status.as_ref() != Some(&status) {
+            self.send_status(status, out);
+        }
+    }
+
+    fn send_status(&mut self, status: Status, out: &mut Vec<Output>) {
+        let Status { membership, is_complete, is_current } = status.clone();
+        if self.sent_status.as_ref().is_some_and(|sent| sent.is_complete != is_complete) {
+            log::info!("the replica is {}", if is_complete { "complete" } else { "not complete" });
+        }
+        self.sent_status = Some(status);
+        let registries = self.connections_of(Role::Registry);
+        let message = PeerMessage::StoreStatus { membership, is_complete, is_current };
+        out.push(Output::Broadcast(registries.clone(), message));
+        out.push(Output::Broadcast(registries, PeerMessage::Digests(self.digests())));
+    }
+
+    fn digests(&self) -> [u64; 2] {
+        [self.store.items().digest(), self.runtime_items.digest()]
+    }
+
+    /// Writes what it was told of servers since the last time.
+    fn write_runtime_items(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let time_of_day = self.time_of_day(now);
+        self.runtime_items.remove_if(|item| Server::is_expired_tombstone(item, time_of_day));
+        let committed = std::mem::take(&mut self.unwritten_items);
+        if !committed.is_empty() {
+            self.open_writes += 1;
+            let change = StateChange { committed, ..StateChange::default() };
+            out.push(Output::Write { id: UNAWAITED_WRITE, change });
+        }
+    }
+
+    fn time_of_day(&self, now: Micros) -> u64 {
+        self.started_at + now / 1_000_000
+    }
+
+    fn connections_of(&self, role: Role) -> Vec<ConnectionId> {
+        let of_role = self.peers.iter().filter(|(_, hello)| hello.role == role);
+        of_role.map(|(&connection, _)| connection).collect()
+    }
+
+    fn step(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+        let mut outputs = Vec::new();
+        self.store.step(now, input, &mut outputs);
+        self.carry_out(outputs, out);
+    }
+
+    fn carry_out(&mut self, outputs: Vec<StoreOutput>, out: &mut Vec<Output>) {
+        for output in outputs {
+            match output {
+                StoreOutput::Send { to, message } => self.send_to_store(&to, message, out),
+                StoreOutput::Write { id, change } => {
+                    self.open_writes += 1;
+                    out.push(Output::Write { id, change });
+                }
+                StoreOutput::Reply { id, reply } => {
+                    let Some(ForwardedFrom { connection, number }) = self.calls.remove(&id) else { continue };
+                    let reply = PeerMessage::CallReply(number, to_call_reply(reply));
+                    out.push(Output::Send(connection, reply));
+                }
+                StoreOutput::Committed(items) => self.send_committed(items, out),
+            }
+        }
+    }
+
+    /// Sends a message on the newest connection to another store.
+    fn send_to_store(&self, to: &str, message: Message, out: &mut Vec<Output>) {
+        let connection =
+            self.peers.iter().rfind(|(_, hello)| hello.role == Role::ConfigStore && hello.ip == to);
+        if let Some((&connection, _)) = connection {
+            out.push(Output::Send(connection, PeerMessage::Consensus(message)));
+        }
+    }
+
+    /// Sends committed items to the registries. Many would hold up the messages behind them, so registries fetch those by
+    /// anti-entropy.
+    fn send_committed(&self, items: Vec<Item>, out: &mut Vec<Output>) {
+        let message = if fits_one_message(&items) {
+            PeerMessage::Update(items)
+        } else {
+            PeerMessage::Digests(self.digests())
+        };
+        out.push(Output::Broadcast(self.connections_of(Role::Registry), message));
+    }
+}
+
+fn to_call_reply(reply: Reply) -> CallReply {
+    match reply {
+        Reply::Acknowledged => CallReply::ok(),
+        Reply::Configuration(body) => CallReply { status: 200, body },
+        Reply::Rejected(error) => {
+            CallReply::error(if error.is_conflict() { 409 } else { 400 }, &error.to_string())
+        }
+        Reply::Unknown => CallReply::error(503, "no majority of the stores has answered in time"),
+    }
+}
--- a/crates/comb/tests/system_packages.rs
+++ b/crates/config-store/tests/system_packages.rs
@@ -9,7 +9,7 @@
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 
 /// The packages that the deploy file builds.
-const PROGRAMS: [&str; 3] = ["pinerelay-forager", "pinerelay-scout", "pinerelay-comb"];
+const PROGRAMS: [&str; 3] = ["pinerelay-proxy", "pinerelay-registry", "pinerelay-config-store"];
 /// Packages that are listed for what they hold to be read, not for a program.
 const READ_ONLY: [&str; 2] = ["libc6-dev", "ca-certificates"];
 /// The exit code of a shell that does not find a program.
--- a/crates/dance/examples/turn.rs
+++ b/crates/consensus/examples/turn.rs
@@ -5,10 +5,10 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use pinerelay_cells::{Item, Key, Kind};
-use pinerelay_dance::store::Birth;
-use pinerelay_dance::voter::Kept;
-use pinerelay_dance::{Input, Membership, Output, Reply, Request, Store};
+use pinerelay_config_state::{Item, Key, Kind};
+use pinerelay_consensus::PersistentState;
+use pinerelay_consensus::StoreConfig;
+use pinerelay_consensus::{Input, Membership, Output, Reply, Request, Store};
 
 const NAMES: [&str; 3] = ["10.0.0.1", "10.0.0.2", "10.0.0.3"];
 const TENANTS: usize = 38_000;
@@ -17,7 +17,7 @@
 const TURNS: u64 = 30;
 
 fn item(kind: Kind, name: String, revision: u64, text: String) -> Item {
-    Item::sourced(Key::new(kind, name), revision, Some(text.into_bytes()))
+    Item::with_revision(Key::new(kind, name), revision, Some(text.into_bytes()))
 }
 
 fn tenant(n: usize, revision: u64) -> Item {
@@ -56,15 +56,21 @@
         let mut all =
             Stores { stores: Vec::new(), events: VecDeque::new(), answer: None, spent: Default::default() };
         for (at, name) in NAMES.iter().enumerate() {
-            let kept = Kept {
+            let kept = PersistentState {
                 incarnation: Some(0),
-                whole: true,
+                is_complete: true,
                 membership: Membership::first(NAMES.map(String::from)),
-                cells: items.to_vec(),
-                ..Kept::default()
+                items: items.to_vec(),
+                ..PersistentState::default()
             };
             let seeds = NAMES.map(String::from).to_vec();
-            let birth = Birth { me: name.to_string(), life: 1, losses: 1, first: false, seeds };
+            let birth = StoreConfig {
+                name: name.to_string(),
+                process_id: 1,
+                tolerated_losses: 1,
+                first_start: false,
+                seeds,
+            };
             let mut out = Vec::new();
             all.stores.push(Store::new(birth, Some(kept), &mut out));
             all.take(at, out);
@@ -76,13 +82,15 @@
     fn take(&mut self, at: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Say(to, word) => {
+                Output::Send { to, message: word } => {
                     let other = NAMES.iter().position(|name| *name == to).expect("one of the three");
-                    self.events.push_back((other, Input::Heard(NAMES[at].into(), word)));
+                    self.events.push_back((other, Input::Message { from: NAMES[at].into(), message: word }));
+                }
+                Output::Write { id: token, change: _ } => {
+                    self.events.push_back((at, Input::WriteCompleted { id: token, succeeded: true }))
                 }
-                Output::Write(token, _) => self.events.push_back((at, Input::Written(token, true))),
-                Output::Answer(_, reply) => self.answer = Some(reply),
-                Output::News(_) => {}
+                Output::Reply { id: _, reply } => self.answer = Some(reply),
+                Output::Committed(_) => {}
             }
         }
     }
@@ -91,7 +99,7 @@
         while let Some((at, input)) = self.events.pop_front() {
             let mut out = Vec::new();
             let begun = Instant::now();
-            self.stores[at].on(now, input, &mut out);
+            self.stores[at].step(now, input, &mut out);
             self.spent[usize::from(at > 0)] += begun.elapsed();
             self.take(at, out);
         }
@@ -99,7 +107,7 @@
 
     /// A call at the first store, up to the last word that comes of it.
     fn call(&mut self, now: u64, request: Request) -> Option<Reply> {
-        self.events.push_back((0, Input::Call(now, request)));
+        self.events.push_back((0, Input::Request { id: now, request }));
         self.run(now);
         self.answer.take()
     }
@@ -123,7 +131,7 @@
     all.spent = Default::default();
     for turn in 0..TURNS {
         let reply = all.call(turn + 1, request(turn));
-        assert!(matches!(reply, Some(Reply::Taken | Reply::Stands(_))), "{reply:?}");
+        assert!(matches!(reply, Some(Reply::Acknowledged | Reply::Configuration(_))), "{reply:?}");
     }
     let [own, others] = all.spent.map(|spent| spent.as_secs_f64() * 1e3 / TURNS as f64);
     println!("{what}: {own:.3} ms at the store that is called, {others:.3} ms at the two others");
--- /dev/null
+++ b/crates/consensus/src/store.rs
@@ -0,0 +1,387 @@
+//! A store: its proposer, its acceptor, and what keeps its replica and its membership up to date.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use pinerelay_config_state::{hash, Item, ItemSet};
+
+use crate::acceptor::{Acceptor, Learned};
+use crate::failure_detector::FailureDetector;
+use crate::message::{Ballot, Batch, Member, Membership, Message, StoreName};
+use crate::persistent_state::{PersistentState, StateChange};
+use crate::proposer::{Action, Proposer, Reply, Request, RequestId};
+use crate::Micros;
+
+mod lease;
+mod messages;
+mod replacement;
+
+use lease::Lease;
+pub use lease::LEASE_DURATION;
+use replacement::Replacement;
+pub use replacement::MEMBERSHIP_CHANGE_INTERVAL;
+
+/// A batch that has been pending for so long is committed by whoever holds it.
+const RECOVERY_DELAY: Micros = 500_000;
+/// The number of the requests that a store makes itself.
+const OWN_REQUEST: RequestId = u64::MAX;
+
+/// What happens to a store.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub enum Input {
+    /// Another store has sent a message.
+    Message {
+        /// The sender.
+        from: StoreName,
+        /// The message.
+        message: Message,
+    },
+    /// A client has made a request.
+    Request {
+        /// Returned with the reply.
+        id: RequestId,
+        /// The request.
+        request: Request,
+    },
+    /// The caller of a request has gone: unless it is proposed already, it is not to be.
+    Cancel(RequestId),
+    /// A write has ended.
+    WriteCompleted {
+        /// As in [`Output::Write`].
+        id: u64,
+        /// Whether the change is durable.
+        succeeded: bool,
+    },
+    /// Time has passed.
+    Tick,
+}
+
+/// What a store wants done.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub enum Output {
+    /// Send a message to another store.
+    Send {
+        /// The receiver.
+        to: StoreName,
+        /// The message.
+        message: Message,
+    },
+    /// Write a change atomically, after all writes before it. [`Input::WriteCompleted`] reports its end.
+    Write {
+        /// Identifies the write.
+        id: u64,
+        /// The change.
+        change: StateChange,
+    },
+    /// Reply to a client's request.
+    Reply {
+        /// The request.
+        id: RequestId,
+        /// Its outcome.
+        reply: Reply,
+    },
+    /// Items were committed that are new here.
+    Committed(Vec<Item>),
+}
+
+/// What is to be done once a write is durable.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+enum AfterWrite {
+    /// Tell a proposer that its batch is accepted.
+    SendAccepted { to: StoreName, ballot: Ballot },
+    /// Send the promise to a proposer, if its epoch is still in force.
+    SendPromise {
+        to: StoreName,
+        epoch: u64,
+        ballot: Ballot,
+        range_digests: Vec<u64>,
+        promise_ceiling: Option<u64>,
+    },
+    /// Tell the acceptor.
+    NotifyAcceptor(StateChange),
+}
+
+/// What a store is told at its start.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
+pub struct StoreConfig {
+    /// Its name.
+    pub name: StoreName,
+    /// Different for each process.
+    pub process_id: u64,
+    /// The number of machines that may be lost at once.
+    pub tolerated_losses: usize,
+    /// Whether the system starts for the first time: an empty disk has lost nothing.
+    pub first_start: bool,
+    /// Other stores.
+    pub seeds: Vec<StoreName>,
+}
+
+/// A store.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Store {
+    config: StoreConfig,
+    membership: Membership,
+    /// When it learned of the membership.
+    membership_since: Micros,
+    acceptor: Acceptor,
+    proposer: Proposer,
+    failure_detector: FailureDetector,
+    /// By the number of the write.
+    after_write: BTreeMap<u64, AfterWrite>,
+    last_write: u64,
+    /// Since when it has held a pending batch.
+    pending_since: Option<Micros>,
+    replacement: Replacement,
+    next_heartbeat: Micros,
+    lease: Lease,
+    /// Messages to itself.
+    loopback: VecDeque<Message>,
+}
+
+/// Where the handlers of one step leave what is to be done.
+struct Effects<'a> {
+    actions: Vec<Action>,
+    out: &'a mut Vec<Output>,
+}
+
+impl Store {
+    /// A store with what its disk holds, `None` if it was empty. Appends what is to be done first.
+    pub fn new(config: StoreConfig, state: Option<PersistentState>, out: &mut Vec<Output>) -> Store {
+        let mut state = state.unwrap_or_default();
+        let is_empty = state.incarnation.is_none();
+        if is_empty && config.first_start {
+            state.membership = Membership::first(config.seeds.clone());
+        }
+        let membership = state.membership.clone();
+        let proposer_id = hash::hash_parts(&[config.name.as_bytes(), &config.process_id.to_le_bytes()]);
+        let mut store = Store {
+            proposer: Proposer::new(proposer_id, config.tolerated_losses),
+            membership: Membership::default(),
+            membership_since: 0,
+            acceptor: Acceptor::new(state),
+            failure_detector: FailureDetector::new(config.name.clone()),
+            after_write: BTreeMap::new(),
+            last_write: 0,
+            pending_since: None,
+            replacement: Replacement::default(),
+            next_heartbeat: 0,
+            lease: Lease::default(),
+            loopback: VecDeque::new(),
+            config,
+        };
+        store.adopt(0, membership);
+        let change = store.first_change(is_empty);
+        store.write(change.clone(), Some(AfterWrite::NotifyAcceptor(change)), out);
+        store
+    }
+
+    /// What is written before anything is promised: after a restart the store must know that it had begun.
+    fn first_change(&mut self, is_empty: bool) -> StateChange {
+        let mut change = self.acceptor.raise_ceiling().unwrap_or_default();
+        if is_empty {
+            let StoreConfig { first_start, process_id, .. } = self.config;
+            // A store that does not know who it was has lost its disk, and is another member from now on.
+            change.incarnation = Some(if first_start { 0 } else { process_id.max(1) });
+            // At the first start of the system it lacks nothing.
+            change.is_complete = first_start;
+            change.membership = Some(self.membership.clone());
+        }
+        change
+    }
+
+    /// Puts a membership in force if it is newer; returns whether it was.
+    fn adopt(&mut self, now: Micros, membership: Membership) -> bool {
+        if membership.epoch <= self.membership.epoch {
+            return false;
+        }
+        self.proposer.set_membership(membership.clone());
+        self.membership = membership;
+        self.membership_since = now;
+        self.lease.forget_confirmations();
+        self.replacement.reset();
+        true
+    }
+
+    /// Puts a committed membership in force and writes it.
+    fn learn_membership(&mut self, now: Micros, membership: Membership, out: &mut Vec<Output>) {
+        if self.adopt(now, membership) {
+            let membership = Some(self.membership.clone());
+            self.write(StateChange { membership, ..StateChange::default() }, None, out);
+        }
+    }
+
+    /// The committed items.
+    pub fn items(&self) -> &ItemSet {
+        self.acceptor.items()
+    }
+
+    /// The membership that it knows.
+    pub fn membership(&self) -> &Membership {
+        &self.membership
+    }
+
+    /// Whether it votes.
+    pub fn is_voter(&self) -> bool {
+        let incarnation = self.acceptor.incarnation();
+        let is_self =
+            |member: &Member| member.name == self.config.name && Some(member.incarnation) == incarnation;
+        self.membership.members.iter().any(is_self)
+    }
+
+    /// Whether its replica is complete: a quorum has confirmed that it held all that was committed, in this process, or on the
+    /// disk with which it votes.
+    pub fn is_complete(&self) -> bool {
+        self.lease.was_ever_held() || self.acceptor.is_complete() && self.is_voter()
+    }
+
+    /// Whether a quorum has confirmed that its replica held all that was committed at a moment of the last
+    /// [`LEASE_DURATION`].
+    pub fn is_current(&self, now: Micros) -> bool {
+        self.lease_left(now) > 0
+    }
+
+    /// For how much longer its replica counts as current; 0 if it does not.
+    pub fn lease_left(&self, now: Micros) -> Micros {
+        self.lease.left(now)
+    }
+
+    /// The stores that it has to reach: those that vote, and its seeds.
+    pub fn peers(&self) -> Vec<StoreName> {
+        let names = self.membership.names().into_iter().chain(self.config.seeds.clone());
+        let names: BTreeSet<StoreName> = names.collect();
+        names.into_iter().filter(|name| *name != self.config.name).collect()
+    }
+
+    /// Handles one input at the time `now` and appends what is to be done.
+    pub fn step(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+        let mut effects = Effects { actions: Vec::new(), out };
+        match input {
+            Input::Message { from, message } if message.is_plausible() => {
+                self.receive(now, &from, message, &mut effects);
+            }
+            Input::Message { .. } => {}
+            Input::Request { id, request } => self.propose(now, id, request, &mut effects),
+            Input::Cancel(id) => self.proposer.cancel(id),
+            Input::WriteCompleted { id, succeeded } => self.write_completed(id, succeeded, effects.out),
+            Input::Tick => self.tick(now, &mut effects),
+        }
+        self.carry_out(now, effects);
+        self.pending_since = self.acceptor.has_pending().then(|| self.pending_since.unwrap_or(now));
+    }
+
+    /// Carries out what the proposer wants, until nothing is left, messages to the store itself included.
+    fn carry_out(&mut self, now: Micros, mut effects: Effects) {
+        loop {
+            for action in std::mem::take(&mut effects.actions) {
+                match action {
+                    Action::Send(to, message) => self.send(to, message, effects.out),
+                    Action::Reply(OWN_REQUEST, _) => {}
+                    Action::Reply(id, reply) => effects.out.push(Output::Reply { id, reply }),
+                    Action::Chosen(ballot, batch) => self.send_commit(now, ballot, &batch, effects.out),
+                }
+            }
+            let Some(message) = self.loopback.pop_front() else { break };
+            let own_name = self.config.name.clone();
+            self.receive(now, &own_name, message, &mut effects);
+        }
+    }
+
+    fn propose(&mut self, now: Micros, id: RequestId, request: Request, effects: &mut Effects) {
+        let observed = self.acceptor.highest_ballot();
+        self.proposer.request(now, id, request, self.acceptor.items(), observed, &mut effects.actions);
+    }
+
+    fn send(&mut self, to: StoreName, message: Message, out: &mut Vec<Output>) {
+        if to == self.config.name {
+            self.loopback.push_back(message);
+        } else {
+            out.push(Output::Send { to, message });
+        }
+    }
+
+    fn write(&mut self, change: StateChange, after: Option<AfterWrite>, out: &mut Vec<Output>) {
+        if change == StateChange::default() {
+            return;
+        }
+        self.last_write += 1;
+        if let Some(after) = after {
+            self.after_write.insert(self.last_write, after);
+        }
+        out.push(Output::Write { id: self.last_write, change });
+    }
+
+    fn write_completed(&mut self, id: u64, succeeded: bool, out: &mut Vec<Output>) {
+        let Some(after) = self.after_write.remove(&id).filter(|_| succeeded) else { return };
+        match after {
+            AfterWrite::SendAccepted { to, ballot } => {
+                if let Some(incarnation) = self.acceptor.incarnation() {
+                    self.send(to, Message::Accepted { ballot, incarnation }, out);
+                }
+            }
+            AfterWrite::SendPromise { to, epoch, ballot, range_digests, promise_ceiling } => {
+                self.acceptor.written(&StateChange { promise_ceiling, ..StateChange::default() });
+                // What was pending may have been committed meanwhile, and a change of membership with it.
+                let reply = if epoch < self.membership.epoch {
+                    Message::NewMembership(self.membership.clone())
+                } else {
+                    self.acceptor.promise(ballot, &range_digests)
+                };
+                self.send(to, reply, out);
+            }
+            AfterWrite::NotifyAcceptor(change) => self.acceptor.written(&change),
+        }
+    }
+
+    /// Writes and reports committed items that are new.
+    fn learned(&mut self, learned: Learned, out: &mut Vec<Output>) {
+        self.write(learned.change, None, out);
+        report_committed(learned.items, out);
+    }
+
+    /// Sends a chosen batch to all stores that are there, those that do not vote as well.
+    fn send_commit(&mut self, now: Micros, ballot: Ballot, batch: &Batch, out: &mut Vec<Output>) {
+        let next = batch.membership.as_ref().map(Membership::names).unwrap_or_default();
+        let mut receivers: BTreeSet<StoreName> = self.membership.names().into_iter().chain(next).collect();
+        receivers.extend(self.failure_detector.alive(now));
+        receivers.insert(self.config.name.clone());
+        for name in receivers {
+            let membership = self.membership.clone();
+            self.send(name, Message::Commit { ballot, membership, batch: batch.clone() }, out);
+        }
+    }
+
+    fn tick(&mut self, now: Micros, effects: &mut Effects) {
+        self.failure_detector.tick(now);
+        if let Some(change) = self.acceptor.raise_ceiling() {
+            self.write(change.clone(), Some(AfterWrite::NotifyAcceptor(change)), effects.out);
+        }
+        self.recover_pending(now, effects);
+        self.replace_member(now, effects);
+        let observed = self.acceptor.highest_ballot();
+        self.proposer.tick(now, self.acceptor.items(), observed, &mut effects.actions);
+        if now >= self.next_heartbeat {
+            self.send_heartbeats(now, observed, effects.out);
+        }
+    }
+
+    /// The store's position among the voters, by which they take turns; 0 if it does not vote.
+    fn rank(&self) -> Micros {
+        let names = self.membership.names();
+        names.iter().position(|name| *name == self.config.name).unwrap_or(0) as Micros
+    }
+
+    /// Commits what has been pending for long. The first of its holders does so, so that not all do at once.
+    fn recover_pending(&mut self, now: Micros, effects: &mut Effects) {
+        let delay = RECOVERY_DELAY + self.rank() * RECOVERY_DELAY / 2;
+        let is_due = self.pending_since.is_some_and(|since| now >= since + delay);
+        if is_due && !self.proposer.is_busy() {
+            self.pending_since = Some(now);
+            self.propose(now, OWN_REQUEST, Request::Recover, effects);
+        }
+    }
+}
+
+fn report_committed(items: Vec<Item>, out: &mut Vec<Output>) {
+    if !items.is_empty() {
+        out.push(Output::Committed(items));
+    }
+}
--- a/crates/dance/tests/model/defects.rs
+++ b/crates/consensus/tests/model/defects.rs
@@ -1,6 +1,6 @@
 //! The seeded defects, each with the scope that is to find it.
 
-use pinerelay_dance::Request;
+use pinerelay_consensus::Request;
 
 use crate::properties::{CURRENT, DURABLE, FIT, READ, SEEN, WHOLE};
 use crate::scope::{Before, Defect, Scope};
--- a/crates/dance/tests/model/play.rs
+++ b/crates/consensus/tests/model/play.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use pinerelay_cells::{call, Item};
-use pinerelay_dance::store::Birth;
-use pinerelay_dance::voter::Change;
-use pinerelay_dance::{Ballot, Input, Output, Reply, Request, Store, Word};
+use pinerelay_config_state::{operator_call, Item};
+use pinerelay_consensus::StateChange;
+use pinerelay_consensus::StoreConfig;
+use pinerelay_consensus::{Ballot, Input, Message, Output, Reply, Request, Store};
 
 use crate::properties::{ONCE, READ};
 use crate::scope::{Before, Defect, Scope, Step};
@@ -20,18 +20,24 @@
         world.machines[me].change(|machine| {
             machine.life += 1;
             machine.now = 0;
-            let mut birth = Birth { me: name(me), life: machine.life, losses: 1, first, seeds };
+            let mut birth = StoreConfig {
+                name: name(me),
+                process_id: machine.life,
+                tolerated_losses: 1,
+                first_start: first,
+                seeds,
+            };
             let mut disk = Option::clone(&machine.disk);
             match (self.defect, &mut disk) {
-                (Some(Defect::ForgetsPromises), Some(kept)) => kept.ceiling = 0,
-                (Some(Defect::ReusesBallots), _) => birth.life = 1,
-                (Some(Defect::TakesEmptyDiskForFirst), None) => birth.first = me < self.voters,
+                (Some(Defect::ForgetsPromises), Some(kept)) => kept.promise_ceiling = 0,
+                (Some(Defect::ReusesBallots), _) => birth.process_id = 1,
+                (Some(Defect::TakesEmptyDiskForFirst), None) => birth.first_start = me < self.voters,
                 (Some(Defect::TakesEmptyDiskForWhole), None) if !first => {
                     Store::new(birth.clone(), None, &mut out);
                     let kept = disk.get_or_insert_default();
                     for output in out.drain(..) {
-                        if let Output::Write(_, change) = output {
-                            kept.write(&Change { whole: true, ..change });
+                        if let Output::Write { id: _, change } = output {
+                            kept.apply(&StateChange { is_complete: true, ..change });
                         }
                     }
                     machine.disk = disk.clone().into();
@@ -53,7 +59,7 @@
         let Turned(store, out) = self.turned.of(hash_of((store.0, now, of)), || {
             let mut out = Vec::new();
             let mut store = Store::clone(store);
-            store.on(now, input(), &mut out);
+            store.step(now, input(), &mut out);
             Turned(store.into(), Arc::new(self.prepare(me, out)))
         });
         world.learn(store.membership());
@@ -66,11 +72,14 @@
     pub fn hears(&self, world: &mut World, said: &Shared<Said>) {
         if let Some(word) = self.misheard(world, said) {
             let of = hash_of((said.from, &word));
-            return self.give(world, said.to, of, || Input::Heard(name(said.from), word));
+            return self.give(world, said.to, of, || Input::Message { from: name(said.from), message: word });
         }
         let waiting = world.machines[said.to].unwritten.len();
-        self.give(world, said.to, said.0, || Input::Heard(name(said.from), said.word.clone()));
-        if let (Some(Defect::PromisesInPastEpoch), Word::Ask { .. }) = (self.defect, &said.word) {
+        self.give(world, said.to, said.0, || Input::Message {
+            from: name(said.from),
+            message: said.word.clone(),
+        });
+        if let (Some(Defect::PromisesInPastEpoch), Message::Prepare { .. }) = (self.defect, &said.word) {
             let machine = &mut world.machines[said.to];
             if let Some((token, _)) = machine.unwritten.get(waiting).cloned() {
                 machine.change(|machine| machine.waits.push((token, said.clone())));
@@ -78,37 +87,49 @@
         }
     }
 
-    pub fn misheard(&self, world: &World, said: &Said) -> Option<Word> {
+    pub fn misheard(&self, world: &World, said: &Said) -> Option<Message> {
         let store = world.machines[said.to].store.as_ref()?;
         let own = || store.membership().clone();
         match (self.defect?, said.word.clone()) {
-            (Defect::SettlesUnderOwnEpoch, Word::Settle { ballot, batch, .. }) => {
-                Some(Word::Settle { ballot, membership: own(), batch })
-            }
-            (Defect::LeavesOutFill, Word::Put { ballot, batch, .. }) => {
-                Some(Word::Put { ballot, fill: Vec::new(), batch })
+            (Defect::SettlesUnderOwnEpoch, Message::Commit { ballot, batch, .. }) => {
+                Some(Message::Commit { ballot, membership: own(), batch })
             }
-            (Defect::HidesPending, Word::Seen { life, sent, digest, epoch, incarnation, .. }) => {
-                Some(Word::Seen { life, sent, digest, epoch, incarnation, pends: false })
+            (Defect::LeavesOutFill, Message::Accept { ballot, batch, .. }) => {
+                Some(Message::Accept { ballot, missing: Vec::new(), batch })
             }
+            (
+                Defect::HidesPending,
+                Message::HeartbeatAck { process_id: life, sent_at: sent, digest, epoch, incarnation, .. },
+            ) => Some(Message::HeartbeatAck {
+                process_id: life,
+                sent_at: sent,
+                digest,
+                epoch,
+                incarnation,
+                has_pending: false,
+            }),
             _ => None,
         }
     }
 
     pub fn prepare(&self, me: usize, out: Vec<Output>) -> Vec<Done> {
         let prepare = |output| match output {
-            Output::Say(to, word) => {
+            Output::Send { to, message: word } => {
                 let to = (0..self.cores).find(|n| name(*n) == to)?;
                 let mends = matches!(
                     word,
-                    Word::Digest { .. } | Word::Seen { .. } | Word::Mend { .. } | Word::News(_)
+                    Message::Heartbeat { .. }
+                        | Message::HeartbeatAck { .. }
+                        | Message::Sync { .. }
+                        | Message::Update(_)
                 );
-                let told = if let Word::Digest { sent, .. } = word { Some(sent) } else { None };
+                let told =
+                    if let Message::Heartbeat { sent_at: sent, .. } = word { Some(sent) } else { None };
                 (self.digests || !mends).then(|| Done::Say(Said { from: me, to, word }.into(), told))
             }
-            Output::Write(token, change) => Some(Done::Write(token, change.into())),
-            Output::Answer(id, reply) => Some(Done::Answer(id, reply)),
-            Output::News(_) => None,
+            Output::Write { id: token, change } => Some(Done::Write(token, change.into())),
+            Output::Reply { id, reply } => Some(Done::Answer(id, reply)),
+            Output::Committed(_) => None,
         };
         out.into_iter().filter_map(prepare).collect()
     }
@@ -153,7 +174,10 @@
         let late = world.machines[me].waits.iter().find(|(at, _)| *at == token).map(|(_, said)| said.clone());
         let promise = late.and_then(|asked| self.late_promise(&world.machines[me], token, &asked));
         let on_way = world.wire.clone();
-        self.give(world, me, hash_of(("written", token)), || Input::Written(token, true));
+        self.give(world, me, hash_of(("written", token)), || Input::WriteCompleted {
+            id: token,
+            succeeded: true,
+        });
         if let Some(promise) = promise {
             // In place of the newer membership.
             world.wire = on_way;
@@ -163,20 +187,38 @@
 
     /// What a store whose promise waited for its disk would say if it took the ask for one of the present epoch.
     pub fn late_promise(&self, machine: &Machine, token: u64, asked: &Said) -> Option<Said> {
-        let Word::Ask { ballot, membership, ranges } = &asked.word else { return None };
+        let Message::Prepare { ballot, membership, range_digests: ranges } = &asked.word else { return None };
         let mut store = Store::clone(machine.store.as_ref()?);
-        store.on(machine.now, Input::Written(token, true), &mut Vec::new());
+        store.step(machine.now, Input::WriteCompleted { id: token, succeeded: true }, &mut Vec::new());
         if membership.epoch >= store.membership().epoch {
             return None;
         }
         // Asked again with the next ballot, since it answers this one no more.
-        let (next, membership) = (Ballot(ballot.0, u64::MAX), store.membership().clone());
-        let again = Word::Ask { ballot: next, membership, ranges: ranges.clone() };
+        let (next, membership) = (Ballot::new(ballot.round, u64::MAX), store.membership().clone());
+        let again = Message::Prepare { ballot: next, membership, range_digests: ranges.clone() };
         let mut out = Vec::new();
-        store.on(machine.now, Input::Heard(name(asked.from), again), &mut out);
+        store.step(machine.now, Input::Message { from: name(asked.from), message: again }, &mut out);
         out.into_iter().find_map(|output| match output {
-            Output::Say(_, Word::Promise { ballot: _, incarnation, at, pending, ranges, cells }) => {
-                let word = Word::Promise { ballot: *ballot, incarnation, at, pending, ranges, cells };
+            Output::Send {
+                to: _,
+                message:
+                    Message::Promise {
+                        ballot: _,
+                        incarnation,
+                        accepted: at,
+                        pending,
+                        range_digests: ranges,
+                        items: item_set,
+                    },
+            } => {
+                let word = Message::Promise {
+                    ballot: *ballot,
+                    incarnation,
+                    accepted: at,
+                    pending,
+                    range_digests: ranges,
+                    items: item_set,
+                };
                 Some(Said { from: asked.to, to: asked.from, word })
             }
             _ => None,
@@ -190,14 +232,15 @@
         };
         let (_, floor) = world.open.remove(at);
         match reply {
-            Reply::Taken => {
+            Reply::Acknowledged => {
                 world.acknowledged |= 1 << id;
                 world.known |= 1 << id;
             }
-            Reply::Invalid(_) => world.refused |= 1 << id,
-            Reply::Unsure => {}
-            Reply::Stands(text) => {
-                let shown = call::read(format!("{{\"upsert\":{text}}}").as_bytes()).expect("what stands");
+            Reply::Rejected(_) => world.refused |= 1 << id,
+            Reply::Unknown => {}
+            Reply::Configuration(text) => {
+                let shown = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes())
+                    .expect("what stands");
                 let all = self.items(Calls::MAX);
                 let drops: Vec<Item> = all.filter(|item| item.value.is_none()).cloned().collect();
                 // What is missing must have been dropped under a higher number.
@@ -227,8 +270,8 @@
                 break;
             }
             let said = world.wire.remove(0);
-            let settles = matches!(said.word, Word::Settle { .. });
-            if *untold && settles || *doubled && matches!(said.word, Word::Promise { .. }) {
+            let settles = matches!(said.word, Message::Commit { .. });
+            if *untold && settles || *doubled && matches!(said.word, Message::Promise { .. }) {
                 late.push(said.clone());
             }
             if !(*untold && settles || deaf.contains(&said.to)) {
--- a/crates/dance/tests/model/properties.rs
+++ b/crates/consensus/tests/model/properties.rs
@@ -1,8 +1,8 @@
 //! What every state is judged by.
 
-use pinerelay_cells::{judge, Cells, Item};
-use pinerelay_dance::store::CURRENT as LEASE;
-use pinerelay_dance::voter::Kept;
+use pinerelay_config_state::{validation, Item, ItemSet};
+use pinerelay_consensus::store::LEASE_DURATION;
+use pinerelay_consensus::PersistentState;
 use stateright::Property;
 
 use crate::scope::Scope;
@@ -26,25 +26,25 @@
     /// All that any store or disk holds for settled, and what was acknowledged.
     pub fn agreed<'a>(&'a self, world: &'a World) -> impl Iterator<Item = &'a Item> {
         let disks =
-            world.machines.iter().filter_map(|m| m.disk.1.as_ref().as_ref()).flat_map(|kept| &kept.cells);
-        let stores = world.machines.iter().filter_map(|m| m.store.as_ref()).flat_map(|s| s.cells().all());
+            world.machines.iter().filter_map(|m| m.disk.1.as_ref().as_ref()).flat_map(|kept| &kept.items);
+        let stores = world.machines.iter().filter_map(|m| m.store.as_ref()).flat_map(|s| s.items().iter());
         disks.chain(stores).chain(self.items(world.acknowledged))
     }
 
     pub fn fit(&self, world: &World) -> bool {
-        let mut all = Cells::default();
+        let mut all = ItemSet::default();
         all.merge_all(self.agreed(world).cloned());
-        let one_content = self
-            .agreed(world)
-            .all(|item| all.get(&item.key).is_some_and(|a| a.version.0 != item.version.0 || a == item));
-        one_content && judge::together(&all).is_ok()
+        let one_content = self.agreed(world).all(|item| {
+            all.get(&item.key).is_some_and(|a| a.version.revision != item.version.revision || a == item)
+        });
+        one_content && validation::check_references(&all).is_ok()
     }
 
     pub fn durable(&self, world: &World) -> bool {
         let disks = world.disks();
         let on = |item: &Item| {
-            let pends = |kept: &Kept| kept.pending.iter().any(|batch| batch.items.contains(item));
-            disks.iter().filter(|kept| holds(&kept.cells, item) || pends(kept)).count()
+            let pends = |kept: &PersistentState| kept.pending.iter().any(|batch| batch.items.contains(item));
+            disks.iter().filter(|kept| holds(&kept.items, item) || pends(kept)).count()
         };
         let all = world.newest().members.len();
         self.items(world.acknowledged).all(|item| on(item) + world.lost() >= quorum(all))
@@ -55,9 +55,9 @@
         // With some lost all that are left are asked, at most.
         let enough = quorum(world.newest().members.len()).min(disks.len());
         choose(&disks, enough).into_iter().all(|set| {
-            let cells = stands(set.into_iter());
+            let item_set = stands(set.into_iter());
             self.items(world.acknowledged)
-                .all(|item| cells.get(&item.key).is_some_and(|c| c.version >= item.version))
+                .all(|item| item_set.get(&item.key).is_some_and(|c| c.version >= item.version))
         })
     }
 
@@ -65,20 +65,21 @@
         world.machines.iter().all(|machine| {
             let Some(store) = &machine.store else { return true };
             // The last digest that a quorum has confirmed.
-            let confirmed = machine.told.iter().rev().find(|(at, _)| store.current(at + LEASE - 1));
+            let confirmed =
+                machine.told.iter().rev().find(|(at, _)| store.is_current(at + LEASE_DURATION - 1));
             confirmed.is_none_or(|(_, known)| {
-                let cells: Vec<Item> = store.cells().all().cloned().collect();
-                self.items(*known).all(|item| holds(&cells, item))
+                let item_set: Vec<Item> = store.items().iter().cloned().collect();
+                self.items(*known).all(|item| holds(&item_set, item))
             })
         })
     }
 
     pub fn whole(&self, world: &World) -> bool {
         world.machines.iter().all(|machine| {
-            let store = machine.store.as_ref().filter(|store| machine.lost != 0 && store.whole());
+            let store = machine.store.as_ref().filter(|store| machine.lost != 0 && store.is_complete());
             store.is_none_or(|store| {
-                let cells: Vec<Item> = store.cells().all().cloned().collect();
-                self.items(machine.lost).all(|item| holds(&cells, item))
+                let item_set: Vec<Item> = store.items().iter().cloned().collect();
+                self.items(machine.lost).all(|item| holds(&item_set, item))
             })
         })
     }
--- a/crates/dance/tests/model/replacement/judge.rs
+++ b/crates/consensus/tests/model/replacement/judge.rs
@@ -1,9 +1,9 @@
 //! What every state is judged by.
 
-use pinerelay_cells::{judge, Cells, Item};
-use pinerelay_dance::store::CURRENT as LEASE;
-use pinerelay_dance::voter::Kept;
-use pinerelay_dance::{Member, Store};
+use pinerelay_config_state::{validation, Item, ItemSet};
+use pinerelay_consensus::store::LEASE_DURATION;
+use pinerelay_consensus::PersistentState;
+use pinerelay_consensus::{Member, Store};
 use stateright::Property;
 
 use super::scopes::Scope;
@@ -39,25 +39,26 @@
 
 /// All that any store or disk holds for settled, and what was acknowledged.
 fn agreed<'a>(scope: &'a Scope, world: &'a World) -> impl Iterator<Item = &'a Item> {
-    let disks = world.machines.iter().filter_map(|m| m.disk.as_ref()).flat_map(|kept| &kept.cells);
-    let stores = world.machines.iter().filter_map(|m| m.store.as_ref()).flat_map(|s| s.cells().all());
+    let disks = world.machines.iter().filter_map(|m| m.disk.as_ref()).flat_map(|kept| &kept.items);
+    let stores = world.machines.iter().filter_map(|m| m.store.as_ref()).flat_map(|s| s.items().iter());
     disks.chain(stores).chain(scope.items(world.acknowledged))
 }
 
 fn fit(scope: &Scope, world: &World) -> bool {
-    let mut all = Cells::default();
+    let mut all = ItemSet::default();
     all.merge_all(agreed(scope, world).cloned());
-    let one_content = agreed(scope, world)
-        .all(|item| all.get(&item.key).is_some_and(|a| a.version.0 != item.version.0 || a == item));
-    one_content && judge::together(&all).is_ok()
+    let one_content = agreed(scope, world).all(|item| {
+        all.get(&item.key).is_some_and(|a| a.version.revision != item.version.revision || a == item)
+    });
+    one_content && validation::check_references(&all).is_ok()
 }
 
 fn durable(scope: &Scope, world: &World) -> bool {
     let disks = world.disks();
     let members = world.newest().members.len();
     let on = |item: &Item| {
-        let pends = |kept: &Kept| kept.pending.iter().any(|batch| batch.items.contains(item));
-        disks.iter().filter(|kept| holds(&kept.cells, item) || pends(kept)).count()
+        let pends = |kept: &PersistentState| kept.pending.iter().any(|batch| batch.items.contains(item));
+        disks.iter().filter(|kept| holds(&kept.items, item) || pends(kept)).count()
     };
     let lost = members - disks.len();
     scope.items(world.acknowledged).all(|item| on(item) + lost >= quorum(members))
@@ -67,10 +68,10 @@
     let disks = world.disks();
     let enough = quorum(world.newest().members.len()).min(disks.len());
     choose(&disks, enough).into_iter().all(|set| {
-        let cells = stands(set.into_iter());
+        let item_set = stands(set.into_iter());
         scope
             .items(world.acknowledged)
-            .all(|item| cells.get(&item.key).is_some_and(|c| c.version >= item.version))
+            .all(|item| item_set.get(&item.key).is_some_and(|c| c.version >= item.version))
     })
 }
 
@@ -78,10 +79,10 @@
     world.machines.iter().all(|machine| {
         let Some(store) = &machine.store else { return true };
         // The last digest that a quorum has confirmed.
-        let confirmed = machine.told.iter().rev().find(|(at, _)| store.current(at + LEASE - 1));
+        let confirmed = machine.told.iter().rev().find(|(at, _)| store.is_current(at + LEASE_DURATION - 1));
         confirmed.is_none_or(|(_, known)| {
-            let cells: Vec<Item> = store.cells().all().cloned().collect();
-            scope.items(*known).all(|item| holds(&cells, item))
+            let item_set: Vec<Item> = store.items().iter().cloned().collect();
+            scope.items(*known).all(|item| holds(&item_set, item))
         })
     })
 }
@@ -90,7 +91,7 @@
 fn meet(world: &World) -> bool {
     let newest = world.newest().epoch;
     world.epochs.iter().filter(|(&epoch, _)| epoch < newest).all(|(&epoch, of)| {
-        let later = |kept: &Kept| {
+        let later = |kept: &PersistentState| {
             let pends = kept.pending.iter().filter_map(|batch| batch.membership.as_ref());
             kept.membership.epoch > epoch || pends.into_iter().any(|next| next.epoch > epoch)
         };
@@ -145,7 +146,7 @@
         Property::sometimes(REPLACED, |_, world: &World| world.renames > 0),
         Property::sometimes(TWICE, |_, world: &World| world.renames > 1),
         Property::sometimes(BACK, |_, world: &World| {
-            replaced(world).any(|(_, store)| store.membership().epoch > 1 && !store.votes())
+            replaced(world).any(|(_, store)| store.membership().epoch > 1 && !store.is_voter())
         }),
         Property::sometimes(AGAIN, |_, world: &World| votes_again(world)),
         Property::sometimes(AFTER, |_, world: &World| world.taken_since),
--- a/crates/dance/tests/model/replacement/play.rs
+++ b/crates/consensus/tests/model/replacement/play.rs
@@ -1,9 +1,10 @@
 //! How the stores are given their inputs, and what they want done is carried out.
 
-use pinerelay_cells::{call, Item};
-use pinerelay_dance::store::{Birth, Micros, PACE};
-use pinerelay_dance::voter::Change;
-use pinerelay_dance::{Batch, Input, Member, Membership, Output, Reply, Request, Store, Word};
+use pinerelay_config_state::{operator_call, Item};
+use pinerelay_consensus::store::MEMBERSHIP_CHANGE_INTERVAL;
+use pinerelay_consensus::StateChange;
+use pinerelay_consensus::{Batch, Input, Member, Membership, Message, Output, Reply, Request, Store};
+use pinerelay_consensus::{Micros, StoreConfig};
 
 use super::judge::{BEFORE, EPOCH, ONCE, PACED, READ, SILENT, VOTES};
 use super::scopes::{Defect, Scope};
@@ -61,7 +62,13 @@
         let machine = &mut world.machines[me];
         machine.life += 1;
         let seeds = (0..self.voters).map(name).collect();
-        let birth = Birth { me: name(me), life: machine.life, losses: 1, first, seeds };
+        let birth = StoreConfig {
+            name: name(me),
+            process_id: machine.life,
+            tolerated_losses: 1,
+            first_start: first,
+            seeds,
+        };
         let mut out = Vec::new();
         let store = Store::new(birth, machine.disk.clone(), &mut out);
         *machine = Machine {
@@ -85,7 +92,7 @@
     pub fn call(&self, world: &mut World, n: usize) {
         world.open.push((n, world.known));
         let (me, request) = &self.calls[n];
-        self.give(world, *me, Input::Call(n as u64, request.clone()));
+        self.give(world, *me, Input::Request { id: n as u64, request: request.clone() });
     }
 
     pub fn pass(&self, world: &mut World) {
@@ -147,7 +154,7 @@
     }
 
     fn hear(&self, world: &mut World, Said { from, to, word }: Said) {
-        if let Word::Digest { .. } = word {
+        if let Message::Heartbeat { .. } = word {
             let now = world.now;
             world.machines[to].heard.insert(from, now);
         }
@@ -155,7 +162,7 @@
             Some(Defect::LeavesOutPace) => without_before(word),
             _ => word,
         };
-        self.give(world, to, Input::Heard(name(from), word));
+        self.give(world, to, Input::Message { from: name(from), message: word });
     }
 
     fn give(&self, world: &mut World, me: usize, input: Input) {
@@ -164,7 +171,7 @@
         let begun = machine.begun;
         let Some(store) = machine.store.as_mut() else { return };
         let mut out = Vec::new();
-        store.on(now - begun, input, &mut out);
+        store.step(now - begun, input, &mut out);
         let membership = store.membership().clone();
         self.learn(world, membership);
         self.carry_out(world, me, out);
@@ -181,10 +188,10 @@
             return;
         }
         let last = world.newest();
-        let recent = world.renamed.is_some_and(|at| world.now < at + PACE);
+        let recent = world.renamed.is_some_and(|at| world.now < at + MEMBERSHIP_CHANGE_INTERVAL);
         let renames = last.names() != membership.names();
-        let before = if renames { last.names() } else { last.before.clone() };
-        if (renames || recent) && membership.before != before {
+        let before = if renames { last.names() } else { last.previous.clone() };
+        if (renames || recent) && membership.previous != before {
             world.wrong = Some(BEFORE);
         }
         if renames {
@@ -200,29 +207,29 @@
     fn carry_out(&self, world: &mut World, me: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Say(to, word) => self.say(world, me, &to, word),
-                Output::Write(token, change) => {
+                Output::Send { to, message: word } => self.say(world, me, &to, word),
+                Output::Write { id: token, change } => {
                     self.write(world, me, &change);
-                    self.give(world, me, Input::Written(token, true));
+                    self.give(world, me, Input::WriteCompleted { id: token, succeeded: true });
                 }
-                Output::Answer(id, reply) => self.answered(world, id as usize, reply),
-                Output::News(_) => {}
+                Output::Reply { id, reply } => self.answered(world, id as usize, reply),
+                Output::Committed(_) => {}
             }
         }
     }
 
-    fn write(&self, world: &mut World, me: usize, change: &Change) {
+    fn write(&self, world: &mut World, me: usize, change: &StateChange) {
         let disk = world.machines[me].disk.get_or_insert_default();
-        disk.write(&written(self.defect, disk.incarnation, change));
-        if let (Some((ballot, Some(_))), Some(incarnation)) = (&change.put, disk.incarnation) {
+        disk.apply(&written(self.defect, disk.incarnation, change));
+        if let (Some((ballot, Some(_))), Some(incarnation)) = (&change.accepted, disk.incarnation) {
             let member = Member { name: name(me), incarnation };
             world.kept.entry(*ballot).or_default().insert(member);
         }
     }
 
-    fn say(&self, world: &mut World, from: usize, to: &str, word: Word) {
+    fn say(&self, world: &mut World, from: usize, to: &str, word: Message) {
         match &word {
-            Word::Digest { sent, .. } => {
+            Message::Heartbeat { sent_at: sent, .. } => {
                 let acknowledged = world.acknowledged;
                 let told = &mut world.machines[from].told;
                 if told.back().is_none_or(|(at, _)| at != sent) {
@@ -232,8 +239,10 @@
                     }
                 }
             }
-            Word::Put { batch: Batch { membership: Some(next), .. }, .. } => self.proposes(world, from, next),
-            Word::Settle { ballot, membership, batch } if world.agreed.insert(*ballot) => {
+            Message::Accept { batch: Batch { membership: Some(next), .. }, .. } => {
+                self.proposes(world, from, next)
+            }
+            Message::Commit { ballot, membership, batch } if world.agreed.insert(*ballot) => {
                 let kept = world.kept.get(ballot).cloned().unwrap_or_default();
                 let enough = |of: &Membership| {
                     of.members.iter().filter(|m| kept.contains(m)).count() >= quorum(of.members.len())
@@ -269,7 +278,7 @@
 
     /// For [`Defect::CountsReplaced`]: what is said to the member in its place the replaced one hears as well, and its
     /// answer is taken for that member's.
-    fn taken_for_another(&self, world: &World, from: usize, to: usize, word: &Word) -> Option<Said> {
+    fn taken_for_another(&self, world: &World, from: usize, to: usize, word: &Message) -> Option<Said> {
         if self.defect != Some(Defect::CountsReplaced) {
             return None;
         }
@@ -279,13 +288,14 @@
             return None;
         }
         match word {
-            Word::Ask { .. } | Word::Put { .. } if to == by => {
+            Message::Prepare { .. } | Message::Accept { .. } if to == by => {
                 Some(Said { from, to: replaced, word: word.clone() })
             }
-            Word::Promise { .. } | Word::Kept { .. } if from == replaced => {
+            Message::Promise { .. } | Message::Accepted { .. } if from == replaced => {
                 let incarnation = world.newest().members.iter().find(|m| m.name == name(by))?.incarnation;
                 let mut word = word.clone();
-                if let Word::Promise { incarnation: of, .. } | Word::Kept { incarnation: of, .. } = &mut word
+                if let Message::Promise { incarnation: of, .. } | Message::Accepted { incarnation: of, .. } =
+                    &mut word
                 {
                     *of = incarnation;
                 }
@@ -302,15 +312,16 @@
         };
         let (_, floor) = world.open.remove(at);
         match reply {
-            Reply::Taken => {
+            Reply::Acknowledged => {
                 world.acknowledged |= 1 << id;
                 world.known |= 1 << id;
                 world.taken_since |= world.renames > 0;
             }
-            Reply::Invalid(_) => world.refused |= 1 << id,
-            Reply::Unsure => {}
-            Reply::Stands(text) => {
-                let shown = call::read(format!("{{\"upsert\":{text}}}").as_bytes()).expect("what stands");
+            Reply::Rejected(_) => world.refused |= 1 << id,
+            Reply::Unknown => {}
+            Reply::Configuration(text) => {
+                let shown = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes())
+                    .expect("what stands");
                 if !self.items(floor).all(|item| holds(&shown, item)) {
                     world.wrong = Some(READ);
                 }
@@ -334,12 +345,14 @@
 }
 
 /// A word whose membership does not say who voted before it.
-fn without_before(mut word: Word) -> Word {
+fn without_before(mut word: Message) -> Message {
     match &mut word {
-        Word::Ask { membership, .. } | Word::Members(membership) => membership.before.clear(),
-        Word::Settle { membership, batch, .. } => {
-            membership.before.clear();
-            batch.membership.iter_mut().for_each(|next| next.before.clear());
+        Message::Prepare { membership, .. } | Message::NewMembership(membership) => {
+            membership.previous.clear()
+        }
+        Message::Commit { membership, batch, .. } => {
+            membership.previous.clear();
+            batch.membership.iter_mut().for_each(|next| next.previous.clear());
         }
         _ => {}
     }
@@ -347,17 +360,17 @@
 }
 
 /// What of a change gets to the disk.
-fn written(defect: Option<Defect>, incarnation: Option<u64>, change: &Change) -> Change {
+fn written(defect: Option<Defect>, incarnation: Option<u64>, change: &StateChange) -> StateChange {
     let mut written = change.clone();
     match defect {
         Some(Defect::ForgetsChange) if incarnation.is_some() => {
             written.membership = None;
-            if let Some((_, Some(batch))) = &mut written.put {
+            if let Some((_, Some(batch))) = &mut written.accepted {
                 batch.membership = None;
             }
         }
         Some(Defect::ForgetsBefore) => {
-            written.membership.iter_mut().for_each(|membership| membership.before.clear());
+            written.membership.iter_mut().for_each(|membership| membership.previous.clear());
         }
         _ => {}
     }
--- a/crates/dance/tests/model/replacement/scopes.rs
+++ b/crates/consensus/tests/model/replacement/scopes.rs
@@ -1,6 +1,6 @@
 //! What is played: events, each within a span of rounds, and what is tampered with.
 
-use pinerelay_dance::Request;
+use pinerelay_consensus::Request;
 
 use super::judge::{AFTER, AGAIN, BACK, BEFORE, MEET, PACED, REPLACED, SILENT, TWICE, VOTES};
 use super::world::{Kind, Step};
--- a/crates/dance/tests/model/replacement/world.rs
+++ b/crates/consensus/tests/model/replacement/world.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use pinerelay_dance::store::Micros;
-use pinerelay_dance::voter::Kept;
-use pinerelay_dance::{Ballot, Member, Membership, Store, Word};
+use pinerelay_consensus::Micros;
+use pinerelay_consensus::PersistentState;
+use pinerelay_consensus::{Ballot, Member, Membership, Message, Store};
 
 use crate::world::{name, Calls};
 
@@ -13,13 +13,13 @@
 pub struct Said {
     pub from: usize,
     pub to: usize,
-    pub word: Word,
+    pub word: Message,
 }
 
 /// A machine: its disk, and the process on it, if it runs. What is written is on the disk at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Machine {
-    pub disk: Option<Kept>,
+    pub disk: Option<PersistentState>,
     pub store: Option<Store>,
     pub life: u64,
     /// When its process began; its clock counts from there.
@@ -48,12 +48,12 @@
 }
 
 impl Kind {
-    pub fn is(self, word: &Word) -> bool {
+    pub fn is(self, word: &Message) -> bool {
         match self {
-            Kind::Put => matches!(word, Word::Put { .. }),
-            Kind::Kept => matches!(word, Word::Kept { .. }),
-            Kind::Settle => matches!(word, Word::Settle { .. }),
-            Kind::Members => matches!(word, Word::Members(_)),
+            Kind::Put => matches!(word, Message::Accept { .. }),
+            Kind::Kept => matches!(word, Message::Accepted { .. }),
+            Kind::Settle => matches!(word, Message::Commit { .. }),
+            Kind::Members => matches!(word, Message::NewMembership(_)),
         }
     }
 }
@@ -129,12 +129,12 @@
     }
 
     /// The disk of a member, unless it is lost.
-    pub fn disk_of(&self, member: &Member) -> Option<&Kept> {
+    pub fn disk_of(&self, member: &Member) -> Option<&PersistentState> {
         let me = (0..self.machines.len()).find(|&me| name(me) == member.name)?;
         self.machines[me].disk.as_ref().filter(|kept| kept.incarnation == Some(member.incarnation))
     }
 
-    pub fn disks(&self) -> Vec<&Kept> {
+    pub fn disks(&self) -> Vec<&PersistentState> {
         self.newest().members.iter().filter_map(|member| self.disk_of(member)).collect()
     }
 }
--- a/crates/dance/tests/model/scope.rs
+++ b/crates/consensus/tests/model/scope.rs
@@ -1,9 +1,9 @@
 //! What is played: the steps, the bounds, and what is tampered with.
 
-use pinerelay_cells::Item;
-use pinerelay_dance::store::Micros;
-use pinerelay_dance::voter::Kept;
-use pinerelay_dance::Request;
+use pinerelay_config_state::Item;
+use pinerelay_consensus::Micros;
+use pinerelay_consensus::PersistentState;
+use pinerelay_consensus::Request;
 
 use crate::shared::{Memo, Shared};
 use crate::world::{Calls, Left, Said, Turned};
@@ -91,7 +91,7 @@
     pub meets: Vec<&'static str>,
     pub defect: Option<Defect>,
     pub turned: Memo<Turned>,
-    pub disks: Memo<Shared<Option<Kept>>>,
+    pub disks: Memo<Shared<Option<PersistentState>>>,
     pub judged: Memo<bool>,
 }
 
--- a/crates/dance/tests/model/searches.rs
+++ b/crates/consensus/tests/model/searches.rs
@@ -1,7 +1,7 @@
 //! The searches, and their calls.
 
-use pinerelay_cells::call;
-use pinerelay_dance::{Member, Membership, Request};
+use pinerelay_config_state::operator_call;
+use pinerelay_consensus::{Member, Membership, Request};
 
 use crate::properties::{ACKNOWLEDGED, CONFLICT, REPAIRED};
 use crate::scope::{Before, Scope};
@@ -13,7 +13,7 @@
         r#"{{"upsert":{{"tenants":{{"column_names":["name","revision","api_keys"],
         "records":[["{name}",{revision},["{key}"]]]}}}}}}"#
     );
-    Request::Update(call::read(text.as_bytes()).expect("a call"))
+    Request::Update(operator_call::parse_update(text.as_bytes()).expect("a call"))
 }
 
 /// Who votes in an epoch: machines, and the incarnations of their disks.
@@ -21,11 +21,11 @@
     let mut members: Vec<Member> =
         of.iter().map(|&(me, incarnation)| Member { name: name(me), incarnation }).collect();
     members.sort();
-    Membership { epoch, members, before: (0..3).map(name).collect() }
+    Membership { epoch, members, previous: (0..3).map(name).collect() }
 }
 
 pub fn change(epoch: u64, of: &[(usize, u64)]) -> Request {
-    Request::Change(membership(epoch, of))
+    Request::ChangeMembership(membership(epoch, of))
 }
 
 /// The searches, each of which is to break nothing. `long` ones go deeper.
--- a/crates/dance/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pinerelay_dance::{Input, Membership, Request, Word};
+use pinerelay_consensus::{Input, Membership, Message, Request};
 use stateright::{Model, Property};
 
 use crate::properties;
@@ -130,12 +130,18 @@
                 let known = world.known;
                 world.open.push((n, known));
                 let (me, request) = &self.calls[n];
-                if let (Some(Defect::LeavesOutOldMembers), Request::Change(next)) = (self.defect, request) {
-                    let next = || Input::Heard(name(*me), Word::Members(next.clone()));
+                if let (Some(Defect::LeavesOutOldMembers), Request::ChangeMembership(next)) =
+                    (self.defect, request)
+                {
+                    let next =
+                        || Input::Message { from: name(*me), message: Message::NewMembership(next.clone()) };
                     self.give(&mut world, *me, hash_of(("change", n)), next);
                     return Some(world);
                 }
-                self.give(&mut world, *me, hash_of(("call", n)), || Input::Call(n as u64, request.clone()));
+                self.give(&mut world, *me, hash_of(("call", n)), || Input::Request {
+                    id: n as u64,
+                    request: request.clone(),
+                });
             }
             Step::Tick(me, jump) => {
                 world.left.ticks -= 1;
--- a/crates/dance/tests/model/trace.rs
+++ b/crates/consensus/tests/model/trace.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use pinerelay_cells::Item;
-use pinerelay_dance::{Ballot, Batch, Member, Membership, Word};
+use pinerelay_config_state::Item;
+use pinerelay_consensus::{Ballot, Batch, Member, Membership, Message};
 
 use crate::scope::Step;
 use crate::world::{letter, name};
@@ -11,7 +11,7 @@
 pub fn items(items: &[Item]) -> String {
     let one = |i: &Item| {
         let value = i.value.as_ref().map_or("dropped".into(), |v| String::from_utf8_lossy(v).into_owned());
-        format!("{}@{} {value}", i.key.name, i.version.0)
+        format!("{}@{} {value}", i.key.name, i.version.revision)
     };
     format!("[{}]", items.iter().map(one).collect::<Vec<_>>().join(", "))
 }
@@ -35,25 +35,29 @@
             Step::Hear { said, again } => {
                 let again = if *again { " (and again later)" } else { "" };
                 write!(f, "{} hears {}: ", letter(said.to), letter(said.from))?;
-                let b = |ballot: &Ballot| format!("{}.{:02x}", ballot.0, ballot.1 % 256);
+                let b = |ballot: &Ballot| format!("{}.{:02x}", ballot.round, ballot.proposer % 256);
                 match &said.word {
-                    Word::Ask { ballot, membership, .. } => {
+                    Message::Prepare { ballot, membership, .. } => {
                         write!(f, "Ask {} in epoch {}", b(ballot), membership.epoch)
                     }
-                    Word::Promise { ballot, at, pending, cells, .. } => {
+                    Message::Promise { ballot, accepted: at, pending, items: item_set, .. } => {
                         write!(f, "Promise {} at {}", b(ballot), b(at))?;
                         if let Some(pending) = pending {
                             write!(f, " pending {}", brief(pending))?;
                         }
-                        write!(f, " settled {}", items(cells))
+                        write!(f, " settled {}", items(item_set))
                     }
-                    Word::Deny { ballot, higher } => write!(f, "Deny {} for {}", b(ballot), b(higher)),
-                    Word::Put { ballot, fill, batch } => {
+                    Message::Reject { ballot, promised: higher } => {
+                        write!(f, "Deny {} for {}", b(ballot), b(higher))
+                    }
+                    Message::Accept { ballot, missing: fill, batch } => {
                         write!(f, "Put {} {} fill {}", b(ballot), brief(batch), items(fill))
                     }
-                    Word::Kept { ballot, .. } => write!(f, "Kept {}", b(ballot)),
-                    Word::Settle { ballot, batch, .. } => write!(f, "Settle {} {}", b(ballot), brief(batch)),
-                    Word::Members(membership) => write!(f, "Members {}", members(membership)),
+                    Message::Accepted { ballot, .. } => write!(f, "PersistentState {}", b(ballot)),
+                    Message::Commit { ballot, batch, .. } => {
+                        write!(f, "Settle {} {}", b(ballot), brief(batch))
+                    }
+                    Message::NewMembership(membership) => write!(f, "Members {}", members(membership)),
                     other => write!(f, "{other:?}"),
                 }?;
                 write!(f, "{again}")
--- a/crates/dance/tests/model/walks.rs
+++ b/crates/consensus/tests/model/walks.rs
@@ -1,6 +1,6 @@
 //! Walks by lot.
 
-use pinerelay_dance::Request;
+use pinerelay_consensus::Request;
 use stateright::Model;
 
 use crate::scope::{Scope, Step};
@@ -14,7 +14,7 @@
     let mut lot = seed;
     let mut upto = |most: usize| {
         lot = lot.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (pinerelay_cells::hash::mix(lot) % most as u64) as usize
+        (pinerelay_config_state::hash::mix64(lot) % most as u64) as usize
     };
     let properties = scope.properties();
     let mut world = scope.init_states().remove(0);
--- a/crates/dance/tests/model/world.rs
+++ b/crates/consensus/tests/model/world.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use pinerelay_cells::{Cells, Item};
-use pinerelay_dance::store::Micros;
-use pinerelay_dance::voter::{Change, Kept};
-use pinerelay_dance::{Member, Membership, Reply, Store, Word};
+use pinerelay_config_state::{Item, ItemSet};
+use pinerelay_consensus::Micros;
+use pinerelay_consensus::{Member, Membership, Message, Reply, Store};
+use pinerelay_consensus::{PersistentState, StateChange};
 
 use crate::properties::EPOCH;
 use crate::shared::{hash_of, Memo, Shared};
@@ -16,7 +16,7 @@
 pub enum Done {
     /// And when it was told, if it is a digest.
     Say(Shared<Said>, Option<Micros>),
-    Write(u64, Shared<Change>),
+    Write(u64, Shared<StateChange>),
     Answer(u64, Reply),
 }
 
@@ -29,15 +29,15 @@
 pub struct Said {
     pub from: usize,
     pub to: usize,
-    pub word: Word,
+    pub word: Message,
 }
 
 /// A machine: its disk, and the process on it, if it runs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Machine {
-    pub disk: Shared<Option<Kept>>,
+    pub disk: Shared<Option<PersistentState>>,
     /// Given to the disk and not yet on it, in order.
-    pub unwritten: Vec<(u64, Shared<Change>)>,
+    pub unwritten: Vec<(u64, Shared<StateChange>)>,
     pub store: Option<Shared<Store>>,
     pub life: u64,
     pub now: Micros,
@@ -51,11 +51,11 @@
 
 impl Machine {
     /// The next write gets to the disk.
-    pub fn sync(&mut self, disks: &Memo<Shared<Option<Kept>>>) -> u64 {
+    pub fn sync(&mut self, disks: &Memo<Shared<Option<PersistentState>>>) -> u64 {
         let (token, change) = self.unwritten.remove(0);
         let disk = disks.of(hash_of((self.disk.0, change.0)), || {
             let mut disk = Option::clone(&self.disk);
-            disk.get_or_insert_default().write(&change);
+            disk.get_or_insert_default().apply(&change);
             disk.into()
         });
         self.disk = disk;
@@ -102,8 +102,8 @@
     format!("10.0.0.{machine}")
 }
 
-pub fn holds(cells: &[Item], item: &Item) -> bool {
-    cells.iter().any(|c| c.key == item.key && c.version >= item.version)
+pub fn holds(item_set: &[Item], item: &Item) -> bool {
+    item_set.iter().any(|c| c.key == item.key && c.version >= item.version)
 }
 
 pub fn quorum(members: usize) -> usize {
@@ -125,12 +125,12 @@
 }
 
 /// What a turn with these disks takes for standing.
-pub fn stands<'a>(disks: impl Iterator<Item = &'a Kept>) -> Cells {
-    let mut all = Cells::default();
-    let mut last: Option<&Kept> = None;
+pub fn stands<'a>(disks: impl Iterator<Item = &'a PersistentState>) -> ItemSet {
+    let mut all = ItemSet::default();
+    let mut last: Option<&PersistentState> = None;
     for kept in disks {
-        all.merge_all(kept.cells.iter().cloned());
-        if last.is_none_or(|l| kept.at > l.at) {
+        all.merge_all(kept.items.iter().cloned());
+        if last.is_none_or(|l| kept.accepted > l.accepted) {
             last = Some(kept);
         }
     }
@@ -139,7 +139,7 @@
 }
 
 impl World {
-    pub fn disk(&self, me: usize) -> Option<&Kept> {
+    pub fn disk(&self, me: usize) -> Option<&PersistentState> {
         self.machines[me].disk.1.as_ref().as_ref()
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// The members' disks that are there.
-    pub fn disks(&self) -> Vec<&Kept> {
+    pub fn disks(&self) -> Vec<&PersistentState> {
         let disk = |member: &Member| {
             let me = (0..self.machines.len()).find(|&me| name(me) == member.name)?;
             self.disk(me).filter(|kept| kept.incarnation == Some(member.incarnation))
--- a/crates/dance/tests/stores.rs
+++ b/crates/consensus/tests/stores.rs
@@ -3,18 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use googletest::prelude::*;
-use pinerelay_cells::call;
-use pinerelay_cells::hash::mix;
-use pinerelay_cells::{judge, Cells, Item, Key};
-use pinerelay_dance::store::{Birth, Micros};
-use pinerelay_dance::voter::{Change, Kept};
-use pinerelay_dance::{Ballot, Batch, Input, Output, Reply, Request, Store, Word};
+use pinerelay_config_state::hash::mix64;
+use pinerelay_config_state::operator_call;
+use pinerelay_config_state::validation::check_references;
+use pinerelay_config_state::{Item, ItemSet, Key};
+use pinerelay_consensus::{Ballot, Batch, Input, Message, Output, Reply, Request, Store};
+use pinerelay_consensus::{Micros, StoreConfig};
+use pinerelay_consensus::{PersistentState, StateChange};
 
 struct Lot(u64);
 
 impl Lot {
     fn upto(&mut self, most: u64) -> u64 {
-        self.0 = mix(self.0.wrapping_add(0x9e37_79b9_7f4a_7c15));
+        self.0 = mix64(self.0.wrapping_add(0x9e37_79b9_7f4a_7c15));
         self.0 % most.max(1)
     }
 
@@ -26,18 +27,18 @@
 /// A machine: its disk, and the process on it, if it runs.
 #[derive(Default)]
 struct Machine {
-    disk: Option<Kept>,
+    disk: Option<PersistentState>,
     store: Option<Store>,
     life: u64,
     /// Its disk was lost once.
     wiped: bool,
     /// Writes that are not on disk yet.
-    unwritten: Vec<(Micros, u64, Change)>,
+    unwritten: Vec<(Micros, u64, StateChange)>,
     stalled_until: Micros,
 }
 
-fn apply(disk: &mut Option<Kept>, change: &Change) {
-    disk.get_or_insert_default().write(change);
+fn apply(disk: &mut Option<PersistentState>, change: &StateChange) {
+    disk.get_or_insert_default().apply(change);
 }
 
 /// Three stores or more, the network between them, and what the operators have been told.
@@ -46,7 +47,7 @@
     now: Micros,
     machines: BTreeMap<String, Machine>,
     seeds: Vec<String>,
-    wire: Vec<(Micros, String, String, pinerelay_dance::Word)>,
+    wire: Vec<(Micros, String, String, pinerelay_consensus::Message)>,
     /// Who is cut off from all others until when.
     cut: (Option<String>, Micros),
     calls: BTreeMap<u64, Request>,
@@ -85,8 +86,14 @@
         let seeds = self.seeds.clone();
         let machine = self.machines.get_mut(name).expect("a machine");
         machine.life += 1;
-        let life = mix(machine.life ^ name.len() as u64) ^ self.lot.0;
-        let birth = Birth { me: name.into(), life, losses: 1, first, seeds };
+        let life = mix64(machine.life ^ name.len() as u64) ^ self.lot.0;
+        let birth = StoreConfig {
+            name: name.into(),
+            process_id: life,
+            tolerated_losses: 1,
+            first_start: first,
+            seeds,
+        };
         machine.store = Some(Store::new(birth, machine.disk.clone(), &mut out));
         self.carry_out(name, out);
     }
@@ -111,26 +118,26 @@
         let now = self.now;
         let Some(store) = self.machines.get_mut(name).and_then(|m| m.store.as_mut()) else { return };
         let mut out = Vec::new();
-        store.on(now, input, &mut out);
+        store.step(now, input, &mut out);
         self.carry_out(name, out);
     }
 
     fn carry_out(&mut self, name: &str, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Say(to, word) => {
+                Output::Send { to, message: word } => {
                     if !self.lot.chance(100) {
                         let at = self.now + 500 + self.lot.upto(3_000);
                         self.wire.push((at, name.into(), to, word));
                     }
                 }
-                Output::Write(token, change) => {
+                Output::Write { id: token, change } => {
                     let machine = self.machines.get_mut(name).expect("a machine");
                     let after = machine.unwritten.last().map_or(0, |w| w.0).max(machine.stalled_until);
                     machine.unwritten.push((after.max(self.now) + 5_000, token, change));
                 }
-                Output::Answer(id, reply) => self.answered(id, reply),
-                Output::News(items) => {
+                Output::Reply { id, reply } => self.answered(id, reply),
+                Output::Committed(items) => {
                     assert!(!items.is_empty());
                 }
             }
@@ -141,21 +148,23 @@
         let request = self.calls.remove(&id).expect("one answer to a call");
         let floor = self.floor.remove(&id).expect("what was acknowledged before");
         match (request, reply) {
-            (Request::Update(items), Reply::Taken) => {
+            (Request::Update(items), Reply::Acknowledged) => {
                 *self.answers.entry("taken").or_default() += 1;
                 for item in items {
                     let newest = self.acknowledged.entry(item.key).or_default();
-                    *newest = (*newest).max(item.version.0);
+                    *newest = (*newest).max(item.version.revision);
                 }
             }
-            (Request::Read, Reply::Stands(text)) => {
+            (Request::Read, Reply::Configuration(text)) => {
                 *self.answers.entry("read").or_default() += 1;
-                let stands = call::read(format!("{{\"upsert\":{text}}}").as_bytes()).expect("what stands");
-                let mut all = Cells::default();
+                let stands = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes())
+                    .expect("what stands");
+                let mut all = ItemSet::default();
                 all.merge_all(stands.iter().cloned());
                 // A copy may miss some items for a moment; what a majority holds always fits.
-                judge::together(&all).expect("what stands fits");
-                let versions: BTreeMap<&Key, u64> = stands.iter().map(|i| (&i.key, i.version.0)).collect();
+                check_references(&all).expect("what stands fits");
+                let versions: BTreeMap<&Key, u64> =
+                    stands.iter().map(|i| (&i.key, i.version.revision)).collect();
                 for (key, newest) in &floor {
                     match versions.get(key) {
                         Some(version) => {
@@ -166,8 +175,8 @@
                     }
                 }
             }
-            (_, Reply::Invalid(_)) => *self.answers.entry("invalid").or_default() += 1,
-            (_, Reply::Unsure) => *self.answers.entry("unsure").or_default() += 1,
+            (_, Reply::Rejected(_)) => *self.answers.entry("invalid").or_default() += 1,
+            (_, Reply::Unknown) => *self.answers.entry("unsure").or_default() += 1,
             (request, reply) => panic!("{reply:?} to {request:?}"),
         }
     }
@@ -180,12 +189,12 @@
         if let Request::Update(items) = &request {
             for item in items.iter().filter(|item| item.value.is_none()) {
                 let newest = self.drops.entry(item.key.clone()).or_default();
-                *newest = (*newest).max(item.version.0);
+                *newest = (*newest).max(item.version.revision);
             }
         }
         self.calls.insert(self.next_call, request.clone());
         self.floor.insert(self.next_call, self.acknowledged.clone());
-        self.give(name, Input::Call(self.next_call, request));
+        self.give(name, Input::Request { id: self.next_call, request });
     }
 
     fn pass(&mut self, until: Micros) {
@@ -199,7 +208,7 @@
             self.wire = left;
             let due: Vec<_> = due.into_iter().filter(|(_, from, to, _)| !apart(from, to)).collect();
             for (_, from, to, word) in due {
-                self.give(&to, Input::Heard(from, word));
+                self.give(&to, Input::Message { from, message: word });
             }
             for name in self.machines.keys().cloned().collect::<Vec<_>>() {
                 let machine = self.machines.get_mut(&name).expect("a machine");
@@ -209,7 +218,9 @@
                     apply(&mut machine.disk, &change);
                     written.push(token);
                 }
-                written.into_iter().for_each(|token| self.give(&name, Input::Written(token, true)));
+                written
+                    .into_iter()
+                    .for_each(|token| self.give(&name, Input::WriteCompleted { id: token, succeeded: true }));
                 if now.is_multiple_of(10_000) {
                     assert_eq!(self.thin(), None, "at {now}");
                 }
@@ -226,14 +237,14 @@
         for kept in self.machines.values().filter_map(|machine| machine.disk.as_ref()) {
             let pending = kept.pending.iter().flat_map(|batch| &batch.items);
             let mut newest: BTreeMap<&Key, u64> = BTreeMap::new();
-            for item in kept.cells.iter().chain(pending) {
+            for item in kept.items.iter().chain(pending) {
                 let there = newest.entry(&item.key).or_default();
-                *there = (*there).max(item.version.0);
+                *there = (*there).max(item.version.revision);
             }
             disks.push(newest);
         }
         // A disk that was lost counts again once its store votes.
-        let lost = self.machines.values().any(|m| m.wiped && !m.store.as_ref().is_some_and(Store::votes));
+        let lost = self.machines.values().any(|m| m.wiped && !m.store.as_ref().is_some_and(Store::is_voter));
         let least = if lost { 1 } else { 2 };
         let on = |key: &Key, revision: u64| disks.iter().filter(|d| d.get(key) >= Some(&revision)).count();
         let mut thin = self.acknowledged.iter().filter(|(key, revision)| on(key, **revision) < least);
@@ -246,7 +257,7 @@
 }
 
 fn config(text: &str) -> Vec<Item> {
-    call::read(text.as_bytes()).expect("a call")
+    operator_call::parse_update(text.as_bytes()).expect("a call")
 }
 
 /// A call that moves keys between tenants, or drops one; alone each fits, together many do not.
@@ -367,11 +378,11 @@
     world.pass(until);
     assert!(world.calls.is_empty(), "seed {seed}: {} calls without an answer", world.calls.len());
     let digests: BTreeSet<u64> =
-        world.machines.values().filter_map(|m| Some(m.store.as_ref()?.cells().digest())).collect();
+        world.machines.values().filter_map(|m| Some(m.store.as_ref()?.items().digest())).collect();
     assert_eq!(digests.len(), 1, "seed {seed}: copies differ");
-    let vote = world.machines.values().filter(|m| m.store.as_ref().is_some_and(Store::votes)).count();
+    let vote = world.machines.values().filter(|m| m.store.as_ref().is_some_and(Store::is_voter)).count();
     assert_eq!(vote, 3, "seed {seed}: three vote again");
-    let whole = world.machines.values().filter(|m| m.store.as_ref().is_some_and(Store::whole)).count();
+    let whole = world.machines.values().filter(|m| m.store.as_ref().is_some_and(Store::is_complete)).count();
     assert_eq!(whole, cores, "seed {seed}: all copies are whole again");
     world.answers
 }
@@ -397,7 +408,7 @@
     let mut world = World::new(5, 3);
     world.pass(200_000);
     let names = world.names();
-    // Kept by the first two alone.
+    // PersistentState by the first two alone.
     world.kill(&names[2], false);
     let first =
         config(r#"{"upsert":{"services":{"column_names":["name","revision"],"records":[["s0",3]]}}}"#);
@@ -419,7 +430,7 @@
     world.call(&names[0], Request::Read);
     world.pass(3_500_000);
     expect_that!(world.answers.get("read"), some(eq(&1)));
-    expect_that!(world.machines[&names[0]].store.as_ref().map(Store::whole), some(eq(true)));
+    expect_that!(world.machines[&names[0]].store.as_ref().map(Store::is_complete), some(eq(true)));
 }
 
 #[gtest]
@@ -453,7 +464,7 @@
             let counts = world.now + 4_000_000;
             world.pass(counts);
             assert!(
-                world.machines[&next].store.as_ref().is_some_and(Store::votes),
+                world.machines[&next].store.as_ref().is_some_and(Store::is_voter),
                 "seed {seed}: {next} votes"
             );
         }
@@ -473,7 +484,7 @@
     let mut world = World::new(7, 4);
     world.pass(2_000_000);
     let names = world.names();
-    expect_that!(world.machines[&names[3]].store.as_ref().map(Store::votes), some(eq(false)));
+    expect_that!(world.machines[&names[3]].store.as_ref().map(Store::is_voter), some(eq(false)));
     let order = |revision: u64| {
         let text = format!(
             r#"{{"upsert":{{"services":{{"column_names":["name","revision"],"records":[["s0",{revision}]]}}}}}}"#
@@ -514,9 +525,9 @@
     world.pass(5_100_000);
     world.start(&names[1], false);
     world.pass(6_900_000);
-    expect_that!(world.machines[&names[1]].store.as_ref().map(Store::votes), some(eq(true)));
+    expect_that!(world.machines[&names[1]].store.as_ref().map(Store::is_voter), some(eq(true)));
     let now = membership(&world, &names[3]);
-    expect_that!((now.epoch, now.before), eq(&(3, names[..3].to_vec())));
+    expect_that!((now.epoch, now.previous), eq(&(3, names[..3].to_vec())));
 }
 
 #[gtest]
@@ -534,18 +545,18 @@
         let membership = world.machines[&names[0]].store.as_ref().map(|store| store.membership().clone());
         let batch = Batch { items: Vec::new(), membership };
         for name in &names {
-            let highest = Ballot(5_000, 7);
-            let ask = Word::Ask {
+            let highest = Ballot::new(5_000, 7);
+            let ask = Message::Prepare {
                 ballot: highest,
                 membership: batch.membership.clone().expect("it runs"),
-                ranges: Vec::new(),
+                range_digests: Vec::new(),
             };
-            world.give(name, Input::Heard("10.0.0.9".into(), ask));
+            world.give(name, Input::Message { from: "10.0.0.9".into(), message: ask });
         }
         let until = world.now + 100_000;
         world.pass(until);
-        let put = Word::Put { ballot: Ballot(5_000, 7), fill: Vec::new(), batch };
-        world.give(&names[1], Input::Heard("10.0.0.9".into(), put));
+        let put = Message::Accept { ballot: Ballot::new(5_000, 7), missing: Vec::new(), batch };
+        world.give(&names[1], Input::Message { from: "10.0.0.9".into(), message: put });
         let until = world.now + 4_000_000;
         world.pass(until);
         // With one gone the word of all others is needed.
@@ -554,7 +565,7 @@
         world.pass(until);
         for name in &names[1..] {
             let store = world.machines[name].store.as_ref().expect("it runs");
-            assert!(store.current(world.now), "seed {seed}: {name} is not current");
+            assert!(store.is_current(world.now), "seed {seed}: {name} is not current");
         }
     }
 }
--- a/crates/fuzz/src/proxy.rs
+++ b/crates/fuzz/src/proxy.rs
@@ -7,16 +7,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{call, Cells, Item};
-use pinerelay_propolis::speech::{self, Hello, Incoming, Role, Speech, Standing, GREETING};
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::{operator_call, Item, ItemSet};
+use pinerelay_peer_link::codec::{self, Decoder, GREETING};
+use pinerelay_peer_link::message::{Hello, PeerMessage, RegistryStatus, Role, LEASE_DURATION};
 
 /// The variable that makes this program a proxy.
 pub const AS_PROXY: &str = "PINERELAY_FUZZ_AS_PROXY";
 
 /// Runs as a proxy, by the command line.
 pub fn serve() -> ExitCode {
-    pinerelay_propolis::command::follow("forager", "is played with", pinerelay_forager::run::run)
+    pinerelay_node_runtime::command::run_program("proxy", "is played with", pinerelay_proxy::run::run)
 }
 
 /// One route that is public and one with a key, to one service; short waits, so that what is not whole ends soon.
@@ -116,56 +117,57 @@
 }
 
 fn items(address: SocketAddrV4) -> Vec<Item> {
-    let mut items = call::read(CONFIG.as_bytes()).unwrap_or_default();
+    let mut items = operator_call::parse_update(CONFIG.as_bytes()).unwrap_or_default();
     let server = Server {
         service: "s1".into(),
         address,
         zone: "z".into(),
         revision: "v1".into(),
         capacity: 100,
-        state: State::Ready,
+        state: ServerState::Ready,
         warmup_ms: 0,
     };
-    items.push(server.item("i-0", 1));
+    items.push(server.to_item("i-0", 1));
     items
 }
 
 /// Plays a registry on one connection.
 fn tell(mut stream: TcpStream, items: &[Item]) {
     let ip = std::net::Ipv4Addr::from(machine()).to_string();
-    let hello = Hello { node: "core-1".into(), ip: ip.clone(), role: Role::Scout, life: 1 };
-    let standing = Standing {
-        scouts: vec![ip.clone()],
+    let hello = Hello { node: "core-1".into(), ip: ip.clone(), role: Role::Registry, process_id: 1 };
+    let standing = RegistryStatus {
+        registries: vec![ip.clone()],
         voters: vec![ip],
         epoch: 1,
-        settled: true,
-        foragers: 1,
-        majority: true,
-        whole: true,
-        current: true,
+        epoch_settled: true,
+        proxies: 1,
+        has_majority: true,
+        is_complete: true,
+        is_current: true,
     };
-    let mut cells = Cells::default();
+    let mut cells = ItemSet::default();
     cells.merge_all(items.iter().filter(|item| item.key.kind.is_config()).cloned());
     let mut out = GREETING.to_vec();
     for speech in [
-        Speech::Hello(hello),
-        Speech::News(items.to_vec()),
-        Speech::Standing(standing),
-        Speech::Digest([cells.digest(), 0]),
+        PeerMessage::Hello(hello),
+        PeerMessage::Update(items.to_vec()),
+        PeerMessage::RegistryStatus(standing),
+        PeerMessage::Digests([cells.digest(), 0]),
     ] {
-        out.extend_from_slice(&speech::write(&speech));
+        out.extend_from_slice(&codec::encode(&speech));
     }
     // Says something now and then, for as long as the proxy does, and that what it told is current.
-    let (mut come, mut buffer) = (Incoming::default(), [0_u8; 4096]);
+    let (mut come, mut buffer) = (Decoder::default(), [0_u8; 4096]);
     while stream.write_all(&out).is_ok() {
         let Ok(some @ 1..) = stream.read(&mut buffer) else { return };
-        come.room().extend_from_slice(&buffer[..some]);
-        out = speech::write(&Speech::Here).to_vec();
-        while let Ok(Some(heard)) = come.take() {
-            if let Speech::Confirm(asked) = heard {
+        come.read_buffer().extend_from_slice(&buffer[..some]);
+        out = codec::encode(&PeerMessage::KeepAlive).to_vec();
+        while let Ok(Some(heard)) = come.next_message() {
+            if let PeerMessage::ConfirmCurrent(asked) = heard {
                 let digest = cells.digest();
-                let confirmed = Speech::Confirmed { asked, epoch: 1, digest, left: speech::CURRENT };
-                out.extend_from_slice(&speech::write(&confirmed));
+                let confirmed =
+                    PeerMessage::Current { asked_at: asked, epoch: 1, digest, lease_left: LEASE_DURATION };
+                out.extend_from_slice(&codec::encode(&confirmed));
             }
         }
     }
--- a/crates/fuzz/src/readers/control.rs
+++ b/crates/fuzz/src/readers/control.rs
@@ -1,9 +1,9 @@
 //! Calls from outside, as the registry and the store read them.
 
-use pinerelay_cells::judge::{self, Standing};
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::{call, Cells};
-use pinerelay_scout::dispatch;
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::validation::{self, IndexedItems};
+use pinerelay_config_state::{operator_call, ItemSet, ValidationError};
+use pinerelay_registry::control_call;
 
 use crate::json_text;
 use crate::mutate::mutate;
@@ -23,33 +23,36 @@
     }
 
     fn check(&mut self, input: &[u8]) -> Result<(), Fault> {
-        let Ok(items) = call::read(input) else { return Ok(()) };
-        let whole = judge::taken(&Cells::default(), &items);
+        let Ok(items) = operator_call::parse_update(input) else { return Ok(()) };
+        let whole = validation::accept_update(&ItemSet::default(), &items);
         // Of several faults each may tell another.
-        let conflicts = |unfit: call::Unfit| unfit.conflict;
-        if Standing::default().taken(&items).map_err(conflicts) != whole.clone().map_err(conflicts) {
+        let conflicts = |unfit: ValidationError| unfit.is_conflict();
+        if IndexedItems::default().accept_update(&items).map_err(conflicts)
+            != whole.clone().map_err(conflicts)
+        {
             return Err("the judge by index says another thing than the one by all".into());
         }
         let Ok(newer) = whole else { return Ok(()) };
-        let mut cells = Cells::default();
+        let mut cells = ItemSet::default();
         cells.merge_all(newer);
-        if !judge::taken(&cells, &items).is_ok_and(|again| again.is_empty()) {
+        if !validation::accept_update(&cells, &items).is_ok_and(|again| again.is_empty()) {
             return Err("what was taken is not acknowledged again".into());
         }
-        let table = Table::of(&cells);
+        let table = RoutingTable::from_items(&cells);
         for tenant in table.tenants() {
             let odd = |c: char| !(' '..='~').contains(&c);
             if tenant.name.is_empty() || tenant.name.contains(odd) || tenant.name.trim() != tenant.name {
                 return Err(format!("{:?} is taken, and X-Tenant can't hold it", tenant.name));
             }
         }
-        let text = call::write(&cells);
-        let again = call::read(format!("{{\"upsert\":{text}}}").as_bytes())
+        let text = operator_call::render_configuration(&cells);
+        let again = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes())
             .map_err(|unfit| format!("what was written can't be read: {unfit}"))?;
-        let mut copy = Cells::default();
+        let mut copy = ItemSet::default();
         copy.merge_all(again);
-        let standing =
-            |cells: &Cells| -> Vec<_> { cells.all().filter(|item| item.value.is_some()).cloned().collect() };
+        let standing = |cells: &ItemSet| -> Vec<_> {
+            cells.iter().filter(|item| item.value.is_some()).cloned().collect()
+        };
         if standing(&copy) != standing(&cells) {
             return Err("what was written reads otherwise than what was sent".into());
         }
@@ -89,18 +92,18 @@
         let mut parts = input.splitn(4, |byte| *byte == b'\n');
         let mut text = || String::from_utf8_lossy(parts.next().unwrap_or_default()).into_owned();
         let (method, path, query) = (text(), text(), text());
-        match dispatch::read(&method, &path, Some(&query), parts.next().unwrap_or_default()) {
-            Ok(dispatch::Call::Beat(id, beat)) => {
-                let item = beat.server.item(&id, beat.calls);
+        match control_call::parse(&method, &path, Some(&query), parts.next().unwrap_or_default()) {
+            Ok(control_call::ControlCall::Heartbeat { id, heartbeat }) => {
+                let item = heartbeat.server.to_item(&id, heartbeat.call_count);
                 let value = item.value.unwrap_or_default();
-                match pinerelay_cells::server::Server::read(&value) {
-                    Some(server) if server == beat.server => Ok(()),
+                match pinerelay_config_state::server::Server::decode(&value) {
+                    Some(server) if server == heartbeat.server => Ok(()),
                     _ => Err("a word is acknowledged, and others can't read what it says".into()),
                 }
             }
             Ok(_) => Ok(()),
-            Err((400..=499, _)) => Ok(()),
-            Err((status, why)) => Err(format!("refused with {status}: {why}")),
+            Err(error) if matches!(error.status(), 400..=499) => Ok(()),
+            Err(error) => Err(format!("rejected with {}: {error}", error.status())),
         }
     }
 }
--- a/crates/fuzz/src/readers/settings.rs
+++ b/crates/fuzz/src/readers/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use pinerelay_propolis::settings::Settings;
+use pinerelay_node_runtime::settings::Settings;
 
 use crate::mutate::mutate;
 use crate::random::Random;
@@ -10,7 +10,7 @@
 
 const FILE: &str = r#"
 node = "edge-a-1"
-role = "forager"
+role = "proxy"
 ip = "10.1.0.37"
 zone = "a"
 internal_ports = [7560,7575]
@@ -111,7 +111,7 @@
         let text = String::from_utf8_lossy(input);
         if let Ok(settings) = Settings::parse(Path::new("s.toml"), &text) {
             // What is taken is used so.
-            let _ = (settings.seeds(), settings.bounds.apply.micros());
+            let _ = (settings.seeds(), settings.bounds.apply.as_micros());
             let bounds = &settings.bounds;
             if [bounds.retry_ratio, bounds.retry_extra, bounds.quota_overrun, bounds.quota_margin]
                 .iter()
--- a/crates/fuzz/src/readers/stored.rs
+++ b/crates/fuzz/src/readers/stored.rs
@@ -2,13 +2,13 @@
 
 use std::path::PathBuf;
 
-use pinerelay_cells::judge::Standing;
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::server::Server;
-use pinerelay_cells::{call, Cells, Item, Kind};
-use pinerelay_comb::disk::Disk;
-use pinerelay_dance::voter::Change;
-use pinerelay_dance::{Ballot, Membership};
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::server::Server;
+use pinerelay_config_state::validation::IndexedItems;
+use pinerelay_config_state::{operator_call, Item, ItemSet, Kind};
+use pinerelay_config_store::disk::{Disk, OpenedDisk};
+use pinerelay_consensus::StateChange;
+use pinerelay_consensus::{Ballot, Membership};
 
 use crate::mutate::mutate;
 use crate::random::Random;
@@ -38,20 +38,22 @@
     fn check(&mut self, input: &[u8]) -> Result<(), Fault> {
         let config = bincode::config::standard().with_limit::<{ 1 << 20 }>();
         let Ok((items, _)) = bincode::decode_from_slice::<Vec<Item>, _>(input, config) else { return Ok(()) };
-        let mut cells = Cells::default();
+        let mut cells = ItemSet::default();
         cells.merge_all(items);
-        for item in cells.all().filter(|item| item.key.kind == Kind::Server) {
-            let _ = item.value.as_deref().and_then(Server::read);
+        for item in cells.iter().filter(|item| item.key.kind == Kind::Server) {
+            let _ = item.value.as_deref().and_then(Server::decode);
         }
-        let _ = call::write(&cells);
-        let mut standing = Standing::new(cells);
-        standing.merge_all(call::read(BESIDE.as_bytes()).map_err(|unfit| unfit.to_string())?);
-        let table = Table::of(standing.cells());
-        if table.route("beside.example", "/b/x").is_none() || table.tenant("beside-key").is_none() {
+        let _ = operator_call::render_configuration(&cells);
+        let mut standing = IndexedItems::new(cells);
+        standing
+            .merge_all(operator_call::parse_update(BESIDE.as_bytes()).map_err(|unfit| unfit.to_string())?);
+        let table = RoutingTable::from_items(standing.items());
+        if table.find_route("beside.example", "/b/x").is_none() || table.tenant_by_key("beside-key").is_none()
+        {
             return Err("an odd item has taken sound ones with it".into());
         }
-        let mut changed = Table::default();
-        standing.cells().all().for_each(|item| changed.change(item));
+        let mut changed = RoutingTable::default();
+        standing.items().iter().for_each(|item| changed.apply(item));
         if changed.tenants().len() != table.tenants().len() {
             return Err("items one by one make another table than all at once".into());
         }
@@ -74,7 +76,7 @@
     }
 }
 
-const FILE: &str = "comb.sqlite";
+const FILE: &str = "config-store.sqlite";
 
 impl Disks {
     fn folder(&mut self) -> PathBuf {
@@ -88,7 +90,7 @@
 
     fn clear(&mut self) -> PathBuf {
         let folder = self.folder();
-        for name in [FILE, "comb.sqlite-wal", "unread.sqlite", "unread.sqlite-wal"] {
+        for name in [FILE, "config-store.sqlite-wal", "unread.sqlite", "unread.sqlite-wal"] {
             let _ = std::fs::remove_file(folder.join(name));
         }
         folder
@@ -100,15 +102,15 @@
             let folder = self.clear();
             let mut random = Random::new(7);
             let settled = (0..40).map(|_| speeches::item(&mut random)).collect();
-            let change = Change {
+            let change = StateChange {
                 incarnation: Some(3),
-                whole: true,
+                is_complete: true,
                 membership: Some(Membership::first(["127.0.0.1".to_string()])),
-                ceiling: Some(1_000),
-                put: Some((Ballot(5, 6), None)),
-                settled,
+                promise_ceiling: Some(1_000),
+                accepted: Some((Ballot::new(5, 6), None)),
+                committed: settled,
             };
-            if let Ok((disk, _, mut written)) = Disk::open(&folder) {
+            if let Ok(OpenedDisk { disk, completed: mut written, .. }) = Disk::open(&folder) {
                 disk.write(1, change);
                 let _ = written.blocking_recv();
                 drop(disk);
@@ -157,14 +159,15 @@
         file.truncate(cut.unwrap_or(file.len()));
         let folder = self.clear();
         std::fs::write(folder.join(FILE), file).map_err(|error| error.to_string())?;
-        let (disk, kept, mut written) = Disk::open(&folder).map_err(|error| error.to_string())?;
-        let items = kept.map(|kept| kept.cells).unwrap_or_default();
+        let OpenedDisk { disk, state: kept, completed: mut written } =
+            Disk::open(&folder).map_err(|error| error.to_string())?;
+        let items = kept.map(|kept| kept.items).unwrap_or_default();
         drop(disk);
         let _ = written.blocking_recv();
-        let mut cells = Cells::default();
+        let mut cells = ItemSet::default();
         cells.merge_all(items);
-        let _ = (Table::of(&cells), call::write(&cells));
-        let _ = Standing::new(cells);
+        let _ = (RoutingTable::from_items(&cells), operator_call::render_configuration(&cells));
+        let _ = IndexedItems::new(cells);
         Ok(())
     }
 
--- a/crates/fuzz/src/readers/words.rs
+++ b/crates/fuzz/src/readers/words.rs
@@ -1,6 +1,6 @@
 //! What comes on a link between processes: greeting and messages, in pieces.
 
-use pinerelay_propolis::speech::{self, Incoming, GREETING};
+use pinerelay_peer_link::codec::{self, Decoder, GREETING};
 
 use crate::mutate::mutate;
 use crate::random::Random;
@@ -23,7 +23,7 @@
             _ => out.extend_from_slice(&GREETING),
         }
         for _ in 0..random.below(5) {
-            let mut wire = speech::write(&speeches::speech(random)).to_vec();
+            let mut wire = codec::encode(&speeches::speech(random)).to_vec();
             match random.below(4) {
                 0 => mutate(
                     random,
@@ -60,12 +60,12 @@
 
 /// The messages that come, each as it would be written again, and how it ends. What is no number is not equal to itself.
 fn hear(wire: &[u8], piece: usize) -> (Vec<Vec<u8>>, String) {
-    let (mut come, mut heard) = (Incoming::default(), Vec::new());
+    let (mut come, mut heard) = (Decoder::default(), Vec::new());
     for piece in wire.chunks(piece) {
-        come.room().extend_from_slice(piece);
+        come.read_buffer().extend_from_slice(piece);
         loop {
-            match come.take() {
-                Ok(Some(speech)) => heard.push(speech::write(&speech).to_vec()),
+            match come.next_message() {
+                Ok(Some(speech)) => heard.push(codec::encode(&speech).to_vec()),
                 Ok(None) => break,
                 Err(garbled) => return (heard, garbled.to_string()),
             }
--- a/crates/fuzz/src/script.rs
+++ b/crates/fuzz/src/script.rs
@@ -4,7 +4,8 @@
 //! as it goes on the wire. Bytes that make no step end the script.
 
 use bytes::BytesMut;
-use pinerelay_propolis::speech::{self, Speech};
+use pinerelay_peer_link::codec;
+use pinerelay_peer_link::message::PeerMessage;
 
 use crate::mutate::mutate;
 use crate::random::Random;
@@ -18,7 +19,7 @@
     /// It has gone.
     Down(u64),
     /// Something was said on it.
-    Said(u64, Speech),
+    Said(u64, PeerMessage),
     /// So many microseconds pass.
     Pass(u64),
 }
@@ -34,9 +35,9 @@
 /// A script: connections that say who they are, and then anything.
 pub fn write(random: &mut Random) -> Vec<u8> {
     let mut out = Vec::new();
-    let mut say = |random: &mut Random, peer: u8, speech: &Speech| {
+    let mut say = |random: &mut Random, peer: u8, speech: &PeerMessage| {
         out.extend_from_slice(&[SAID, peer]);
-        let mut wire = speech::write(speech).to_vec();
+        let mut wire = codec::encode(speech).to_vec();
         if random.one_in(8) {
             // Danger: the length in front stays as it was, or is spoilt on its own.
             let mut body = wire.split_off(4);
@@ -55,7 +56,7 @@
     };
     for peer in 0..1 + random.below(4) as u8 {
         if !random.one_in(8) {
-            let hello = Speech::Hello(speeches::hello(random));
+            let hello = PeerMessage::Hello(speeches::hello(random));
             say(random, peer, &hello);
         }
     }
@@ -76,7 +77,7 @@
         match head[0] {
             UP => steps.push(Step::Up(peer)),
             DOWN => steps.push(Step::Down(peer)),
-            SAID => match speech::next(&mut left) {
+            SAID => match codec::decode(&mut left) {
                 Ok(Some(speech)) => steps.push(Step::Said(peer, speech)),
                 _ => break,
             },
