--- a/crates/fuzz/src/speeches.rs
+++ b/crates/fuzz/src/speeches.rs
@@ -1,12 +1,16 @@
 //! What processes say to each other, made of numbers and names at their borders.
 
-use pinerelay_cells::merkle::{Part, Range};
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{Item, Key, Kind, Version};
-use pinerelay_dance::{Ballot, Batch, Member, Membership, Word};
-use pinerelay_nectar::fence;
-use pinerelay_nectar::purse::{Ask, Grant};
-use pinerelay_propolis::speech::{Answered, Hello, Passed, Role, Rolled, Speech, Standing};
+use pinerelay_admission::duty::DutyMessage;
+use pinerelay_admission::lease::{LeaseGrant, LeaseRequest};
+use pinerelay_config_state::anti_entropy::{DigestEntry, SyncPart};
+use pinerelay_config_state::digest_tree::KeyRange;
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::{Item, Key, Kind, Version};
+use pinerelay_consensus::{Ballot, Batch, Member, Membership, Message};
+use pinerelay_peer_link::message::{
+    CallReply, ForwardedCall, Hello, Metric, PeerMessage, ProcessList, RegistryStatus, Role, SeenHeartbeat,
+    TenantGrant,
+};
 
 use crate::json_text;
 use crate::random::Random;
@@ -31,8 +35,15 @@
 
 /// Who a process says that it is.
 pub fn hello(random: &mut Random) -> Hello {
-    let role = *random.of(&[Role::Forager, Role::Scout, Role::Scout, Role::Comb, Role::Comb, Role::Visitor]);
-    Hello { node: name(random), ip: name(random), role, life: random.whole() }
+    let role = *random.of(&[
+        Role::Proxy,
+        Role::Registry,
+        Role::Registry,
+        Role::ConfigStore,
+        Role::ConfigStore,
+        Role::Observer,
+    ]);
+    Hello { node: name(random), ip: name(random), role, process_id: random.whole() }
 }
 
 fn kind(random: &mut Random) -> Kind {
@@ -47,7 +58,7 @@
         zone: name(random),
         revision: name(random),
         capacity: random.whole() as u32,
-        state: *random.of(&[State::Ready, State::Draining, State::Lost, State::Gone]),
+        state: *random.of(&[ServerState::Ready, ServerState::Draining, ServerState::Lost, ServerState::Gone]),
         warmup_ms: random.whole() as u32,
     }
 }
@@ -67,13 +78,13 @@
                 Kind::Tenant => r#"{"api_keys":["k1"],"rate_per_s":10,"burst":5,"priority":1}"#,
                 Kind::Service => r#"{"health_path":"/health","max_conns":3}"#,
                 Kind::Limits => r#"{"max_header_bytes":16384,"max_body_bytes":1000,"idle_timeout":"1s"}"#,
-                Kind::Server | Kind::Node => return server(random).item(&name(random), random.whole()),
+                Kind::Server | Kind::Node => return server(random).to_item(&name(random), random.whole()),
             };
             Some(json_text::exchanged(random, sound))
         }
     };
     let key = Key::new(kind, name(random));
-    Item { key, version: Version(random.whole(), random.whole()), value }
+    Item { key, version: Version::new(random.whole(), random.whole()), value }
 }
 
 fn items(random: &mut Random) -> Vec<Item> {
@@ -81,40 +92,43 @@
 }
 
 /// A range as it may come on the wire; whole ones among them.
-fn range(random: &mut Random) -> Range {
+fn range(random: &mut Random) -> KeyRange {
     let depth = if random.one_in(2) { random.below(18) as u8 } else { random.bits() as u8 };
     let standard = bincode::config::standard();
     let bytes = bincode::encode_to_vec((random.whole(), depth), standard).unwrap_or_default();
-    bincode::decode_from_slice(&bytes, standard).map_or(Range::ALL, |(range, _)| range)
+    bincode::decode_from_slice(&bytes, standard).map_or(KeyRange::ALL, |(range, _)| range)
 }
 
-fn part(random: &mut Random) -> Part {
+fn part(random: &mut Random) -> SyncPart {
     match random.below(4) {
-        0 => Part::Digests {
+        0 => SyncPart::Digests {
             range: range(random),
-            from: random.bits() as u8,
-            sums: list(random, 20, Random::whole),
+            first_child: random.bits() as u8,
+            digests: list(random, 20, Random::whole),
         },
-        1 => Part::Lines {
+        1 => SyncPart::Entries {
             range: range(random),
-            lines: list(random, 20, |r| (r.whole(), Version(r.whole(), r.whole()))),
+            entries: list(random, 20, |r| DigestEntry {
+                key_hash: r.whole(),
+                version: Version::new(r.whole(), r.whole()),
+            }),
         },
-        2 => Part::nothing(),
-        _ => Part::Want(list(random, 20, Random::whole)),
+        2 => SyncPart::request_all(),
+        _ => SyncPart::Want(list(random, 20, Random::whole)),
     }
 }
 
-fn parts(random: &mut Random) -> Vec<Part> {
+fn parts(random: &mut Random) -> Vec<SyncPart> {
     list(random, 4, part)
 }
 
 fn ballot(random: &mut Random) -> Ballot {
-    Ballot(random.whole(), random.whole())
+    Ballot::new(random.whole(), random.whole())
 }
 
 fn membership(random: &mut Random) -> Membership {
     let member = |random: &mut Random| Member { name: name(random), incarnation: random.whole() };
-    Membership { epoch: random.whole(), members: list(random, 4, member), before: list(random, 4, name) }
+    Membership { epoch: random.whole(), members: list(random, 4, member), previous: list(random, 4, name) }
 }
 
 fn batch(random: &mut Random) -> Batch {
@@ -123,144 +137,159 @@
 }
 
 /// What a store says.
-pub fn word(random: &mut Random) -> Word {
+pub fn word(random: &mut Random) -> Message {
     let incarnation = random.whole();
     let some = random.one_in(2).then_some(incarnation);
     match random.below(11) {
-        0 => Word::Ask {
+        0 => Message::Prepare {
             ballot: ballot(random),
             membership: membership(random),
-            ranges: list(random, 20, Random::whole),
+            range_digests: list(random, 20, Random::whole),
         },
-        1 => Word::Promise {
+        1 => Message::Promise {
             ballot: ballot(random),
             incarnation,
-            at: ballot(random),
+            accepted: ballot(random),
             pending: random.one_in(2).then(|| batch(random)),
-            ranges: list(random, 20, Random::whole),
-            cells: items(random),
+            range_digests: list(random, 20, Random::whole),
+            items: items(random),
         },
-        2 => Word::Deny { ballot: ballot(random), higher: ballot(random) },
-        3 => Word::Put { ballot: ballot(random), fill: items(random), batch: batch(random) },
-        4 => Word::Kept { ballot: ballot(random), incarnation },
-        5 => Word::Settle { ballot: ballot(random), membership: membership(random), batch: batch(random) },
-        6 => Word::Members(membership(random)),
-        7 => Word::Digest {
-            life: random.whole(),
-            sent: random.whole(),
+        2 => Message::Reject { ballot: ballot(random), promised: ballot(random) },
+        3 => Message::Accept { ballot: ballot(random), missing: items(random), batch: batch(random) },
+        4 => Message::Accepted { ballot: ballot(random), incarnation },
+        5 => Message::Commit { ballot: ballot(random), membership: membership(random), batch: batch(random) },
+        6 => Message::NewMembership(membership(random)),
+        7 => Message::Heartbeat {
+            process_id: random.whole(),
+            sent_at: random.whole(),
             digest: random.whole(),
             epoch: random.whole(),
             incarnation: some,
-            highest: ballot(random),
+            highest_ballot: ballot(random),
         },
-        8 => Word::Seen {
-            life: random.below(3) as u64,
-            sent: random.whole(),
+        8 => Message::HeartbeatAck {
+            process_id: random.below(3) as u64,
+            sent_at: random.whole(),
             digest: random.whole(),
             epoch: random.whole(),
             incarnation: some,
-            pends: random.one_in(2),
+            has_pending: random.one_in(2),
         },
-        9 => Word::Mend { items: items(random), parts: parts(random) },
-        _ => Word::News(items(random)),
+        9 => Message::Sync { items: items(random), parts: parts(random) },
+        _ => Message::Update(items(random)),
     }
 }
 
-fn ask(random: &mut Random) -> Ask {
-    Ask {
+fn ask(random: &mut Random) -> LeaseRequest {
+    LeaseRequest {
         tenant: name(random),
-        want: random.float(),
-        back: random.float(),
-        holds: random.float(),
-        spent: random.float(),
-        lately: random.float(),
-        left: random.float(),
-        fence: random.whole(),
+        wanted: random.float(),
+        returned: random.float(),
+        held_share: random.float(),
+        share_spent: random.float(),
+        share_spent_lately: random.float(),
+        share_left: random.float(),
+        fencing_token: random.whole(),
     }
 }
 
-fn grant(random: &mut Random) -> Grant {
+fn grant(random: &mut Random) -> LeaseGrant {
     match random.below(3) {
-        0 => Grant::Block {
+        0 => LeaseGrant::Units {
             units: random.float(),
-            life: random.whole(),
-            fence: random.whole(),
+            duration: random.whole(),
+            fencing_token: random.whole(),
             share: random.float(),
         },
-        1 => Grant::Dry { wait: random.whole(), share: random.float() },
-        _ => Grant::Elsewhere,
+        1 => LeaseGrant::Exhausted { retry_after: random.whole(), share: random.float() },
+        _ => LeaseGrant::NotOwner,
     }
 }
 
-fn standing(random: &mut Random) -> Standing {
-    Standing {
-        scouts: list(random, 4, name),
+fn standing(random: &mut Random) -> RegistryStatus {
+    RegistryStatus {
+        registries: list(random, 4, name),
         voters: list(random, 4, name),
         epoch: random.whole(),
-        settled: random.one_in(2),
-        foragers: random.whole() as u32,
-        majority: random.one_in(2),
-        whole: random.one_in(2),
-        current: random.one_in(2),
+        epoch_settled: random.one_in(2),
+        proxies: random.whole() as u32,
+        has_majority: random.one_in(2),
+        is_complete: random.one_in(2),
+        is_current: random.one_in(2),
     }
 }
 
-fn fence_word(random: &mut Random) -> fence::Word {
+fn fence_word(random: &mut Random) -> DutyMessage {
     let (turn, slices) = (random.whole(), random.whole() as u32);
     match random.below(3) {
-        0 => fence::Word::Claim { turn, slices },
-        1 => fence::Word::Promised { turn, slices },
-        _ => fence::Word::Released { turn, slices },
+        0 => DutyMessage::Claim { claim: turn, slices },
+        1 => DutyMessage::Promise { claim: turn, slices },
+        _ => DutyMessage::Release { claim: turn, slices },
     }
 }
 
 /// Any message.
-pub fn speech(random: &mut Random) -> Speech {
+pub fn speech(random: &mut Random) -> PeerMessage {
     match random.below(28) {
-        0 => Speech::Hello(hello(random)),
-        1 => Speech::Bye,
-        2 | 3 => Speech::News(items(random)),
-        4 => Speech::Digest([random.whole(), random.whole()]),
-        5 | 6 => Speech::Mend { realm: random.below(4) as u8, items: items(random), parts: parts(random) },
-        7 => Speech::Hold { number: random.whole(), items: items(random) },
-        8 => Speech::Held(random.below(4) as u64),
-        9 => Speech::Beats(list(random, 8, |r| (r.whole(), r.whole() as u32))),
-        10 | 11 => Speech::Standing(standing(random)),
-        12 => Speech::Placed { me: random.whole() as u32, nodes: random.whole() as u32 },
-        13 => Speech::Here,
-        14 | 15 => Speech::Fence(fence_word(random)),
-        16 => Speech::Draw(list(random, 4, ask)),
-        17 => Speech::Drawn(list(random, 4, |r| (name(r), grant(r)))),
-        18 | 19 => Speech::Store(word(random)),
-        20 => Speech::StoreStands {
+        0 => PeerMessage::Hello(hello(random)),
+        1 => PeerMessage::Goodbye,
+        2 | 3 => PeerMessage::Update(items(random)),
+        4 => PeerMessage::Digests([random.whole(), random.whole()]),
+        5 | 6 => {
+            PeerMessage::Sync { realm: random.below(4) as u8, items: items(random), parts: parts(random) }
+        }
+        7 => PeerMessage::Replicate { number: random.whole(), items: items(random) },
+        8 => PeerMessage::Replicated(random.below(4) as u64),
+        9 => PeerMessage::HeartbeatsSeen(list(random, 8, |r| SeenHeartbeat {
+            key_hash: r.whole(),
+            age_ms: r.whole() as u32,
+        })),
+        10 | 11 => PeerMessage::RegistryStatus(standing(random)),
+        12 => PeerMessage::ProxyPlace { index: random.whole() as u32, proxies: random.whole() as u32 },
+        13 => PeerMessage::KeepAlive,
+        14 | 15 => PeerMessage::Duty(fence_word(random)),
+        16 => PeerMessage::LeaseRequests(list(random, 4, ask)),
+        17 => PeerMessage::LeaseGrants(list(random, 4, |r| TenantGrant { tenant: name(r), grant: grant(r) })),
+        18 | 19 => PeerMessage::Consensus(word(random)),
+        20 => PeerMessage::StoreStatus {
             membership: membership(random),
-            whole: random.one_in(2),
-            current: random.one_in(2),
+            is_complete: random.one_in(2),
+            is_current: random.one_in(2),
         },
-        21 => Speech::Confirm(random.whole()),
-        22 => Speech::Confirmed {
-            asked: random.whole(),
+        21 => PeerMessage::ConfirmCurrent(random.whole()),
+        22 => PeerMessage::Current {
+            asked_at: random.whole(),
             epoch: random.whole(),
             digest: random.whole(),
-            left: random.whole(),
+            lease_left: random.whole(),
         },
         23 => {
-            let passed =
-                if random.one_in(4) { Passed::Read } else { Passed::Update(json_text::update(random)) };
-            Speech::Pass(random.below(9) as u64, passed)
+            let passed = if random.one_in(4) {
+                ForwardedCall::Read
+            } else {
+                ForwardedCall::Update(json_text::update(random))
+            };
+            PeerMessage::ForwardCall(random.below(9) as u64, passed)
         }
         24 => {
-            let answered = Answered { status: random.bits() as u16, body: name(random) };
-            Speech::Answer(random.below(9) as u64, answered)
+            let answered = CallReply { status: random.bits() as u16, body: name(random) };
+            PeerMessage::CallReply(random.below(9) as u64, answered)
         }
-        25 => Speech::Roll,
+        25 => PeerMessage::ProcessListRequest,
         26 => {
-            let rolled =
-                Rolled { linked: list(random, 3, hello), missing: list(random, 3, name), core: Vec::new() };
+            let rolled = ProcessList {
+                linked: list(random, 3, hello),
+                missing: list(random, 3, name),
+                voters: Vec::new(),
+            };
             random
-                .of(&[Speech::Rolled(rolled), Speech::Ask, Speech::Figures(vec![("n".into(), f64::NAN)])])
+                .of(&[
+                    PeerMessage::ProcessList(rolled),
+                    PeerMessage::MetricsRequest,
+                    PeerMessage::Metrics(vec![Metric::new("n", f64::NAN)]),
+                ])
                 .clone()
         }
-        _ => Speech::Proxies(list(random, 4, name)),
+        _ => PeerMessage::KnownProxies(list(random, 4, name)),
     }
 }
--- a/crates/honey/src/pause.rs
+++ b/crates/honey/src/pause.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use bincode::{Decode, Encode};
-use pinerelay_cells::hash;
+use pinerelay_config_state::hash;
 
 use crate::{Credits, Micros};
 
@@ -170,7 +170,7 @@
         if self.news.level != Level::Empty && credit && (place.is_some() || self.newcomer(now)) {
             return Arrival::Go;
         }
-        let spread = hash::of(&[self.me.as_bytes(), &request.to_le_bytes()]) % BACK;
+        let spread = hash::hash_parts(&[self.me.as_bytes(), &request.to_le_bytes()]) % BACK;
         let slot = (core + BACK + spread) / SLOT;
         self.own(slot).kept += 1;
         Arrival::Later { slot, back: (slot * SLOT + SLOT / 2).saturating_sub(core) }
--- a/crates/honey/src/play.rs
+++ b/crates/honey/src/play.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use googletest::prelude::*;
-use pinerelay_cells::verdict::Verdict;
+use pinerelay_config_state::execution::ExecutionStatus;
 
 use self::world::{write, Core, Figures, Net, Proxy, Truth, Word, PRICES, PROXIES, STEP};
 use crate::account::{Account, End, Reason, Record, LIFE};
@@ -266,10 +266,14 @@
                 if now < *over {
                     return true;
                 }
-                let verdict = [Verdict::NeverRan, Verdict::Ran, Verdict::MayHaveRun, Verdict::Ran]
-                    [net.dice(4) as usize];
+                let verdict = [
+                    ExecutionStatus::NotExecuted,
+                    ExecutionStatus::Executed,
+                    ExecutionStatus::MayHaveExecuted,
+                    ExecutionStatus::Executed,
+                ][net.dice(4) as usize];
                 t.under_way -= *price;
-                if verdict == Verdict::NeverRan {
+                if verdict == ExecutionStatus::NotExecuted {
                     t.net -= *price;
                 } else {
                     figures.ran += 1;
--- a/crates/honey/src/pot.rs
+++ b/crates/honey/src/pot.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bincode::{Decode, Encode};
-use pinerelay_cells::verdict::Verdict;
+use pinerelay_config_state::execution::ExecutionStatus;
 
 use crate::told::{BlockId, Holder, Lease, Tell};
 use crate::watch::enough;
@@ -174,16 +174,16 @@
     }
 
     /// It is over. One that never ran is not debited, or is so no longer.
-    pub fn done(&mut self, now: Micros, request: u64, verdict: Verdict) {
+    pub fn done(&mut self, now: Micros, request: u64, verdict: ExecutionStatus) {
         let Some(open) = self.open.remove(&request) else { return };
         let Some(held) = self.blocks.get_mut(&open.block) else { return };
         held.open -= 1;
         match (verdict, open.debited) {
-            (Verdict::NeverRan, true) => {
+            (ExecutionStatus::NotExecuted, true) => {
                 held.taken -= open.price;
                 held.debit(now, -(open.price as i64));
             }
-            (Verdict::NeverRan, false) => held.taken -= open.price,
+            (ExecutionStatus::NotExecuted, false) => held.taken -= open.price,
             // Danger: what may have run is debited even if nobody said that it was sent.
             (_, false) => held.debit(now, open.price as i64),
             (_, true) => {}
--- a/crates/honey/src/watch.rs
+++ b/crates/honey/src/watch.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bincode::{Decode, Encode};
-use pinerelay_cells::hash;
+use pinerelay_config_state::hash;
 
 use crate::account::Block;
 use crate::told::{BlockId, Holder, Tell, Told};
@@ -25,7 +25,7 @@
 pub fn watchers(holder: &Holder, live: &BTreeSet<Holder>) -> Vec<Holder> {
     let others = live.iter().filter(|other| other.name != holder.name);
     let by_name: BTreeMap<&str, &Holder> = others.map(|other| (other.name.as_str(), other)).collect();
-    let ranked = hash::rendezvous(&holder.name, by_name.keys().copied());
+    let ranked = hash::rendezvous_order(&holder.name, by_name.keys().copied());
     ranked.into_iter().take(WATCHERS).map(|name| by_name[name].clone()).collect()
 }
 
--- a/crates/keeper/examples/measure.rs
+++ b/crates/keeper/examples/measure.rs
@@ -10,8 +10,8 @@
 
 use pinerelay_keeper::run::Keeper;
 use pinerelay_keeper::{figures, rules};
-use pinerelay_propolis::link::{Event, Links};
-use pinerelay_propolis::speech::{Hello, Role, Rolled, Speech};
+use pinerelay_peer_link::link::{LinkEvent, Links};
+use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, ProcessList, Role};
 use tokio::runtime::{Builder, LocalOptions, LocalRuntime};
 
 /// The first of the internal ports.
@@ -33,49 +33,47 @@
 fn fleet(processes: usize) -> Vec<Hello> {
     let hello = |number: usize| {
         let (role, machine) = match number {
-            0..3 => (Role::Scout, number),
-            3..6 => (Role::Comb, number - 3),
-            _ => (Role::Forager, number),
+            0..3 => (Role::Registry, number),
+            3..6 => (Role::ConfigStore, number - 3),
+            _ => (Role::Proxy, number),
         };
         let ip = Ipv4Addr::new(127, 77, 0, 1 + machine as u8).to_string();
-        Hello { node: format!("node-{machine}"), ip, role, life: 7 }
+        Hello { node: format!("node-{machine}"), ip, role, process_id: 7 }
     };
     (0..processes).map(hello).collect()
 }
 
-fn told(role: Role) -> Vec<(String, f64)> {
-    let program = match role {
-        Role::Forager => "forager_",
-        Role::Scout => "scout_",
-        _ => "comb_",
-    };
-    let own = figures::KNOWN.iter().filter(|(name, _)| name.starts_with(program));
-    let mut all: Vec<(String, f64)> = own.map(|(name, _)| (name.to_string(), 1234.5)).collect();
-    all.push((format!("{program}info{{zone=\"a\"}}"), 1.0));
-    let status = |s: u32| (format!("forager_answers_total{{status=\"{s}\"}}"), 9.0);
-    all.extend((role == Role::Forager).then(|| [200, 400, 404, 429, 503].map(status)).into_iter().flatten());
+/// The metrics that a process of a role answers with.
+fn metrics(role: Role) -> Vec<Metric> {
+    let prefix = format!("{}_", role.name());
+    let own = figures::KNOWN.iter().filter(|(name, _)| name.starts_with(&prefix));
+    let mut all: Vec<Metric> = own.map(|(name, _)| Metric::new(*name, 1234.5)).collect();
+    all.push(Metric::new(format!("{prefix}info{{zone=\"a\"}}"), 1.0));
+    let status = |s: u32| Metric::new(format!("proxy_answers_total{{status=\"{s}\"}}"), 9.0);
+    all.extend((role == Role::Proxy).then(|| [200, 400, 404, 429, 503].map(status)).into_iter().flatten());
     all
 }
 
 async fn play(fleet: Vec<Hello>, port: u16, ready: std::sync::mpsc::Sender<()>) -> std::io::Result<()> {
     let core = fleet[..3].iter().map(|hello| hello.ip.clone()).collect();
-    let rolled = Rolled { linked: fleet.clone(), missing: Vec::new(), core };
+    let rolled = ProcessList { linked: fleet.clone(), missing: Vec::new(), voters: core };
     for me in fleet {
         let (links, mut events) = Links::new();
         let program = match me.role {
-            Role::Scout | Role::Visitor => 0,
-            Role::Comb => 1,
-            Role::Forager => 2,
+            Role::Registry | Role::Observer => 0,
+            Role::ConfigStore => 1,
+            Role::Proxy => 2,
         };
         let ip = me.ip.parse().unwrap_or(Ipv4Addr::LOCALHOST);
         links.listen(SocketAddrV4::new(ip, port + program))?;
-        let (rolled, figures) = (Speech::Rolled(rolled.clone()), Speech::Figures(told(me.role)));
+        let (rolled, figures) =
+            (PeerMessage::ProcessList(rolled.clone()), PeerMessage::Metrics(metrics(me.role)));
         tokio::task::spawn_local(async move {
             while let Some(event) = events.recv().await {
                 match event {
-                    Event::Up(peer, _) => links.say(peer, &Speech::Hello(me.clone())),
-                    Event::Said(peer, Speech::Roll) => links.say(peer, &rolled),
-                    Event::Said(peer, Speech::Ask) => links.say(peer, &figures),
+                    LinkEvent::Connected(peer, _) => links.send(peer, &PeerMessage::Hello(me.clone())),
+                    LinkEvent::Received(peer, PeerMessage::ProcessListRequest) => links.send(peer, &rolled),
+                    LinkEvent::Received(peer, PeerMessage::MetricsRequest) => links.send(peer, &figures),
                     _ => {}
                 }
             }
--- a/crates/keeper/src/alerts.rs
+++ b/crates/keeper/src/alerts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use pinerelay_propolis::speech::Role;
+use pinerelay_peer_link::message::Role;
 
 use crate::rules::{Compare, Group, Reads, Rule, Severity};
 use crate::watch::Micros;
--- a/crates/keeper/src/command.rs
+++ b/crates/keeper/src/command.rs
@@ -5,10 +5,10 @@
 use std::process::ExitCode;
 
 use getopts::Options;
-use pinerelay_propolis::command::{level, CommandError};
-use pinerelay_propolis::logs::{self, Level};
-use pinerelay_propolis::ports;
-use pinerelay_propolis::settings::{FileError, Settings};
+use pinerelay_node_runtime::command::{log_level, CommandError};
+use pinerelay_node_runtime::internal_port;
+use pinerelay_node_runtime::logs::{self, Level};
+use pinerelay_node_runtime::settings::{FileError, Settings};
 
 use crate::rules::{self, Rule};
 use crate::run;
@@ -63,22 +63,23 @@
         return Ok(Command::Print(format!("keeper {}", env!("CARGO_PKG_VERSION"))));
     }
     if let Some(free) = found.free.first() {
-        return Err(CommandError::Free(free.clone()));
+        return Err(CommandError::UnexpectedArgument(free.clone()));
     }
     if let Some(path) = found.opt_str("c") {
         return Ok(Command::Check(path.into()));
     }
-    let level = level(&found)?;
+    let level = log_level(&found)?;
     let listen = found.opt_str("listen").ok_or(CommandError::Missing("--listen ADDRESS is wanted"))?;
-    let listen =
-        listen.parse().map_err(|_| CommandError::Unfit("listen", "an address and port", listen.clone()))?;
-    let unfit = |text: &String| CommandError::Unfit("at", "an IPv4 address and port", text.clone());
+    let listen = listen
+        .parse()
+        .map_err(|_| CommandError::InvalidValue("listen", "an address and port", listen.clone()))?;
+    let unfit = |text: &String| CommandError::InvalidValue("at", "an IPv4 address and port", text.clone());
     let at = found.opt_strs("at");
     let at: Result<Vec<SocketAddrV4>, _> =
         at.iter().map(|text| text.parse().map_err(|_| unfit(text))).collect();
     let at = at?;
     if let Some(other) = at.iter().find(|address| address.port() != at[0].port()) {
-        return Err(CommandError::Unfit("at", "the same port for all", other.to_string()));
+        return Err(CommandError::InvalidValue("at", "the same port for all", other.to_string()));
     }
     let from = match (found.opt_str("s"), at.is_empty()) {
         (Some(path), true) => From::Settings(path.into()),
@@ -93,7 +94,7 @@
     Ok(match from {
         From::At(at) => {
             let first = at.first().map_or(0, |address| address.port());
-            (at.iter().map(|address| *address.ip()).collect(), first.saturating_sub(ports::SCOUT))
+            (at.iter().map(|address| *address.ip()).collect(), first.saturating_sub(internal_port::REGISTRY))
         }
         From::Settings(path) => {
             let settings = Settings::read(&path)?;
@@ -135,7 +136,7 @@
         Ok(seeds) => seeds,
         Err(error) => return fail(&error, 1),
     };
-    logs::begin(level);
+    logs::start(level);
     match run::run(listen, seeds, port, rules) {
         Ok(()) => 0.into(),
         Err(error) => fail(&error, 1),
--- a/crates/keeper/src/rules.rs
+++ b/crates/keeper/src/rules.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pinerelay_cells::span;
-use pinerelay_propolis::settings::FileError;
+use pinerelay_config_state::duration;
+use pinerelay_node_runtime::settings::FileError;
 use serde::de::{Error as _, Unexpected, Visitor};
 use serde::{Deserialize, Deserializer};
 use toml::Value;
@@ -104,7 +104,7 @@
 
             fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Time, E> {
                 let wrong = || E::invalid_value(Unexpected::Str(text), &self);
-                span::parse(text).map(Time).ok_or_else(wrong)
+                duration::parse_duration(text).map(Time).ok_or_else(wrong)
             }
         }
         from.deserialize_any(Wanted)
@@ -148,7 +148,7 @@
 /// A threshold: a time for what is a time, else a number.
 fn threshold(value: &Value, time: bool) -> Result<f64, String> {
     if time {
-        let found = value.as_str().and_then(span::parse);
+        let found = value.as_str().and_then(duration::parse_duration);
         let wanted = "a time with its unit, such as \"1500ms\" or \"2.5s\", is wanted for this figure";
         return found.map(|found| found.as_secs_f64()).ok_or_else(|| format!("{wanted}, not {value}"));
     }
@@ -217,13 +217,13 @@
 /// Reads a file.
 pub fn read(path: &Path) -> Result<Vec<Rule>, FileError> {
     let text =
-        std::fs::read_to_string(path).map_err(|error| FileError::Unread { path: path.into(), error })?;
+        std::fs::read_to_string(path).map_err(|error| FileError::Unreadable { path: path.into(), error })?;
     parse(path, &text)
 }
 
 /// Reads the text of a file.
 pub fn parse(path: &Path, text: &str) -> Result<Vec<Rule>, FileError> {
-    let unfit = |key: String, why: String| FileError::Unfit { path: path.into(), key, why };
+    let unfit = |key: String, why: String| FileError::Invalid { path: path.into(), key, reason: why };
     let parsed = toml::Deserializer::parse(text).map_err(|e| unfit(".".into(), e.message().into()))?;
     let file: File = serde_path_to_error::deserialize(parsed)
         .map_err(|e| unfit(e.path().to_string(), e.inner().message().into()))?;
@@ -252,7 +252,7 @@
     const FILE: &str = r#"
 [[alert]]
 name = "news_late"
-figure = "forager_news_age_seconds"
+figure = "proxy_update_age_seconds"
 compare = "above"
 raise = "4s"
 clear = "2s"
@@ -280,14 +280,14 @@
         expect_that!(why("\"1500ms\"", "\"soon\""), all("hold", "a time with its unit"));
         expect_that!(why("\"4s\"", "4"), all("raise", "a time with its unit"));
         expect_that!(why("\"4s\"", "\"1s\""), all("clear", "the side without trouble"));
-        expect_that!(why("news_age", "mood"), all("figure", "docs/design/observing.md"));
+        expect_that!(why("update_age", "mood"), all("figure", "docs/design/observing.md"));
         expect_that!(why("calm", "clam"), contains_substring("unknown field `clam`"));
         expect_that!(why("\"zone\"", "\"rack\""), all("group", "`zone`"));
         expect_that!(why("compare = \"above\"", ""), contains_substring("missing field `compare`"));
         expect_that!(why("name = \"news_late\"", "name = \"News\""), all("name", "lower-case"));
         expect_that!(why("page = \"news-late\"", "page = \"\""), all("page", "alerts.md"));
         expect_that!(why("hold", "rate_over = \"9s\"\nhold"), all("rate_over", "does not count"));
-        expect_that!(why("forager_news_age_seconds", "starts_total"), all("rate_over", "only grows"));
+        expect_that!(why("proxy_update_age_seconds", "starts_total"), all("rate_over", "only grows"));
         expect_that!(why("[[alert]]", "[[alarm]]"), contains_substring("unknown field `alarm`"));
         expect_that!(why("[[alert]]", "[[alert"), starts_with("r.toml: .: "));
         let twice = format!("{FILE}{FILE}");
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -15,9 +15,9 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use pinerelay_propolis::ports;
-use pinerelay_propolis::speech::{Hello, Role};
-use pinerelay_propolis::visit::{visit, Told, VisitError};
+use pinerelay_node_runtime::internal_port;
+use pinerelay_peer_link::message::{Hello, Role};
+use pinerelay_peer_link::query::{query, ProcessReport, Query, QueryError};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::LocalOptions;
 use tokio::signal::unix::{signal, SignalKind};
@@ -126,8 +126,8 @@
         let me = Hello {
             node: "keeper".into(),
             ip: String::new(),
-            role: Role::Visitor,
-            life: u64::from(std::process::id()),
+            role: Role::Observer,
+            process_id: u64::from(std::process::id()),
         };
         Keeper {
             me,
@@ -142,9 +142,9 @@
 
     fn address(&self, (role, ip): Place) -> SocketAddrV4 {
         let program = match role {
-            Role::Scout | Role::Visitor => ports::SCOUT,
-            Role::Comb => ports::COMB,
-            Role::Forager => ports::FORAGER,
+            Role::Registry | Role::Observer => internal_port::REGISTRY,
+            Role::ConfigStore => internal_port::CONFIG_STORE,
+            Role::Proxy => internal_port::PROXY,
         };
         SocketAddrV4::new(ip, self.port.saturating_add(program))
     }
@@ -206,9 +206,10 @@
         let mut visits = JoinSet::new();
         for place in due {
             let (address, me) = (self.address(place), self.me.clone());
+            let question = Query { role: place.0, with_servers: false, max_bytes: MOST };
             visits.spawn_local(async move {
-                let patience = timeout(PATIENCE, visit(address, &me, place.0, false, MOST)).await;
-                (place, patience.unwrap_or(Err(VisitError::Unanswered)))
+                let patience = timeout(PATIENCE, query(address, &me, question)).await;
+                (place, patience.unwrap_or(Err(QueryError::Unanswered)))
             });
         }
         while let Some(visited) = visits.join_next().await {
@@ -217,7 +218,7 @@
         }
     }
 
-    fn come(&self, now: Micros, place: Place, come: Result<Told, VisitError>) {
+    fn come(&self, now: Micros, place: Place, come: Result<ProcessReport, QueryError>) {
         let mut own = self.own.get();
         own.asked += 1;
         match come {
--- a/crates/keeper/src/watch.rs
+++ b/crates/keeper/src/watch.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-use pinerelay_propolis::speech::{Role, Rolled};
-use pinerelay_propolis::visit::Told;
+use pinerelay_peer_link::message::{Metric, ProcessList, Role};
+use pinerelay_peer_link::query::ProcessReport;
 
 use crate::alerts::Seen;
 use crate::figures::{self, Label};
@@ -42,7 +42,7 @@
     life: Option<u64>,
     asked: Option<Micros>,
     heard: Micros,
-    rolled: Option<Rolled>,
+    rolled: Option<ProcessList>,
 }
 
 /// All processes.
@@ -58,7 +58,7 @@
     /// One that has been told of these registries.
     pub fn new(seeds: impl IntoIterator<Item = Ipv4Addr>) -> Watch {
         let mut watch = Watch { seeds: seeds.into_iter().collect(), ..Watch::default() };
-        watch.known = watch.seeds.iter().map(|ip| ((Role::Scout, *ip), Process::default())).collect();
+        watch.known = watch.seeds.iter().map(|ip| ((Role::Registry, *ip), Process::default())).collect();
         watch
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// One has answered.
-    pub fn told(&mut self, now: Micros, place: Place, told: Told) {
+    pub fn told(&mut self, now: Micros, place: Place, told: ProcessReport) {
         let Some(process) = self.known.get_mut(&place) else { return };
         if told.hello.role != place.0 {
             process.up = false;
@@ -83,30 +83,31 @@
             // Another machine has its address now.
             *process = Process { asked: process.asked, ..Process::default() };
         }
-        if process.life.replace(told.hello.life).is_some_and(|life| life != told.hello.life) {
+        if process.life.replace(told.hello.process_id).is_some_and(|life| life != told.hello.process_id) {
             process.starts += 1;
         }
         process.node = Some(told.hello.node);
         (process.up, process.heard) = (true, now);
         process.figures.clear();
-        for (name, value) in told.figures.into_iter().take(FIGURES_MOST) {
+        for Metric { name, value } in told.metrics.into_iter().take(FIGURES_MOST) {
             match figures::read(&name).filter(|_| value.is_finite()) {
                 Some((name, Some(("zone", zone)))) if name.ends_with("_info") => process.zone = zone,
                 Some((name, label)) => process.figures.push((name, label, value)),
                 None => self.odd += 1,
             }
         }
-        process.rolled = told.rolled;
+        process.rolled = told.process_list;
         if let Some(rolled) = process.rolled.clone() {
             self.learn(now, &rolled);
         }
     }
 
-    fn learn(&mut self, now: Micros, rolled: &Rolled) {
-        let linked = rolled.linked.iter().filter(|hello| hello.role != Role::Visitor);
+    fn learn(&mut self, now: Micros, rolled: &ProcessList) {
+        let linked = rolled.linked.iter().filter(|hello| hello.role != Role::Observer);
         let linked = linked.map(|hello| (hello.role, &hello.ip, Some(&hello.node)));
         // Who votes is there even when nobody is linked to it.
-        let core = rolled.core.iter().flat_map(|ip| [(Role::Scout, ip, None), (Role::Comb, ip, None)]);
+        let core =
+            rolled.voters.iter().flat_map(|ip| [(Role::Registry, ip, None), (Role::ConfigStore, ip, None)]);
         for (role, ip, node) in linked.chain(core) {
             let Ok(ip) = ip.parse() else { continue };
             if self.known.len() >= PROCESSES_MOST && !self.known.contains_key(&(role, ip)) {
@@ -137,23 +138,23 @@
 
     /// All that are asked have answered, or have not in time: those that have gone as planned are forgotten.
     pub fn settle(&mut self, now: Micros) {
-        let rolls: Vec<&Rolled> = self.known.values().filter_map(|p| p.rolled.as_ref()).collect();
+        let rolls: Vec<&ProcessList> = self.known.values().filter_map(|p| p.rolled.as_ref()).collect();
         let proxies: BTreeSet<&String> = rolls
             .iter()
-            .flat_map(|r| r.linked.iter().filter(|h| h.role == Role::Forager).map(|h| &h.node))
+            .flat_map(|r| r.linked.iter().filter(|h| h.role == Role::Proxy).map(|h| &h.node))
             .chain(rolls.iter().flat_map(|r| &r.missing))
             .collect();
         let core: BTreeSet<Ipv4Addr> =
-            rolls.iter().flat_map(|r| &r.core).filter_map(|ip| ip.parse().ok()).collect();
+            rolls.iter().flat_map(|r| &r.voters).filter_map(|ip| ip.parse().ok()).collect();
         let gone = self.known.iter().filter(|((role, ip), process)| {
             let old = now >= process.heard + FORGET;
             !process.up
                 && match role {
                     // As long as no registry answers, nothing is known to have gone.
-                    Role::Forager => {
+                    Role::Proxy => {
                         !rolls.is_empty() && process.node.as_ref().is_none_or(|node| !proxies.contains(node))
                     }
-                    _ => old && !core.contains(ip) && !(*role == Role::Scout && self.seeds.contains(ip)),
+                    _ => old && !core.contains(ip) && !(*role == Role::Registry && self.seeds.contains(ip)),
                 }
         });
         let gone: Vec<Place> = gone.map(|(place, _)| *place).collect();
--- a/crates/keeper/tests/alerts.rs
+++ b/crates/keeper/tests/alerts.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use pinerelay_keeper::alerts::{Alerts, Change, Seen};
 use pinerelay_keeper::rules::{self, Rule};
-use pinerelay_propolis::speech::Role;
+use pinerelay_peer_link::message::Role;
 use proptest::prelude::*;
 
 const LOOK: u64 = 2_000_000;
@@ -17,12 +17,12 @@
 }
 
 fn process(node: &str, figure: &'static str, value: f64) -> Seen {
-    let role = if figure.starts_with("comb") {
-        Role::Comb
-    } else if figure.starts_with("scout") {
-        Role::Scout
+    let role = if figure.starts_with("config_store") {
+        Role::ConfigStore
+    } else if figure.starts_with("registry") {
+        Role::Registry
     } else {
-        Role::Forager
+        Role::Proxy
     };
     let zone = node.split('-').next().unwrap_or_default().to_string();
     Seen { role, node: node.into(), zone, life: 1, figures: BTreeMap::from([(figure, value)]) }
@@ -61,16 +61,21 @@
     let cases: BTreeMap<&str, Case> = BTreeMap::from([
         (
             "core_without_majority",
-            ("scout_majority", steps(&[(1.0, 3), (0.0, 5), (1.0, 4)]), 0, steps(&[(1.0, 12)])),
+            ("registry_majority", steps(&[(1.0, 3), (0.0, 5), (1.0, 4)]), 0, steps(&[(1.0, 12)])),
         ),
         (
             "store_not_whole",
-            ("comb_stands", steps(&[(1.0, 3), (0.0, 8), (1.0, 4)]), 4, steps(&[(0.0, 2), (1.0, 9)])),
+            (
+                "config_store_complete_reported",
+                steps(&[(1.0, 3), (0.0, 8), (1.0, 4)]),
+                4,
+                steps(&[(0.0, 2), (1.0, 9)]),
+            ),
         ),
         (
             "disk_slow",
             (
-                "comb_write_seconds_total",
+                "config_store_write_seconds_total",
                 growth(&[(0.01, 6), (1.9, 6), (0.01, 14)]),
                 10,
                 growth(&[(0.1, 9), (1.9, 1), (0.1, 9)]),
@@ -79,7 +84,7 @@
         (
             "disk_stuck",
             (
-                "comb_oldest_unwritten_seconds",
+                "config_store_oldest_open_write_seconds",
                 steps(&[(0.0, 2), (1.5, 2), (0.0, 5)]),
                 0,
                 steps(&[(0.3, 4), (0.0, 5), (0.7, 1)]),
@@ -87,12 +92,12 @@
         ),
         (
             "disk_refusing",
-            ("comb_writes_refused_total", growth(&[(0.0, 3), (3.0, 2), (0.0, 12)]), 0, vec![7.0; 12]),
+            ("config_store_writes_refused_total", growth(&[(0.0, 3), (3.0, 2), (0.0, 12)]), 0, vec![7.0; 12]),
         ),
         (
             "news_late",
             (
-                "forager_news_age_seconds",
+                "proxy_update_age_seconds",
                 steps(&[(0.4, 3), (4.0, 4), (0.3, 5)]),
                 0,
                 steps(&[(0.6, 3), (2.4, 6), (0.6, 4)]),
@@ -101,7 +106,7 @@
         (
             "registry_news_late",
             (
-                "scout_news_age_seconds",
+                "registry_update_age_seconds",
                 steps(&[(0.4, 3), (4.0, 4), (0.3, 5)]),
                 0,
                 steps(&[(0.6, 3), (2.4, 6), (0.6, 4)]),
@@ -109,12 +114,17 @@
         ),
         (
             "drain_not_heard",
-            ("scout_drains_unheld_total", growth(&[(0.0, 3), (1.0, 1), (0.0, 12)]), 0, vec![2.0; 12]),
+            (
+                "registry_deregistrations_rejected_total",
+                growth(&[(0.0, 3), (1.0, 1), (0.0, 12)]),
+                0,
+                vec![2.0; 12],
+            ),
         ),
         (
             "quota_stranded",
             (
-                "forager_quota_stranded_total",
+                "proxy_quota_unanswered_total",
                 growth(&[(0.0, 3), (8.0, 6), (0.0, 14)]),
                 4,
                 growth(&[(0.0, 3), (5.0, 1), (0.0, 9), (1.0, 9)]),
@@ -123,7 +133,7 @@
         (
             "further_tries_near_end",
             (
-                "forager_further_used_ratio",
+                "proxy_retry_budget_used_ratio",
                 steps(&[(0.1, 3), (0.9, 4), (0.7, 3), (0.1, 7)]),
                 2,
                 steps(&[(0.8, 9), (0.9, 1), (0.5, 5)]),
@@ -132,7 +142,7 @@
         (
             "further_tries_denied",
             (
-                "forager_further_denied_total",
+                "proxy_retries_denied_total",
                 growth(&[(0.0, 3), (8.0, 6), (0.0, 14)]),
                 4,
                 growth(&[(0.0, 3), (5.0, 1), (0.0, 9), (1.0, 9)]),
@@ -151,7 +161,10 @@
             "node_missing",
             ("up", steps(&[(1.0, 3), (0.0, 4), (1.0, 5)]), 2, steps(&[(1.0, 3), (0.0, 1), (1.0, 5)])),
         ),
-        ("servers_lost", ("scout_losses_total", growth(&[(0.0, 3), (1.0, 1), (0.0, 30)]), 0, vec![4.0; 12])),
+        (
+            "servers_lost",
+            ("registry_servers_lost_total", growth(&[(0.0, 3), (1.0, 1), (0.0, 30)]), 0, vec![4.0; 12]),
+        ),
     ]);
     let rules = shipped();
     expect_that!(rules.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), len(eq(cases.len())));
@@ -215,7 +228,7 @@
     let mut told: Vec<Change> = Vec::new();
     for look in 0..6 {
         // The first look's counter may be of any age: only what it grows by counts.
-        let mut seen = process("a-1", "forager_quota_stranded_total", counts[look] / 10.0);
+        let mut seen = process("a-1", "proxy_quota_unanswered_total", counts[look] / 10.0);
         seen.life = lives[look];
         told.extend(alerts.look(look as u64 * LOOK, &[seen]));
     }
@@ -231,7 +244,7 @@
         let rule = rules::parse(Path::new("r.toml"), r#"
             [[alert]]
             name = "r"
-            figure = "forager_news_age_seconds"
+            figure = "proxy_update_age_seconds"
             compare = "above"
             raise = "6s"
             clear = "3s"
@@ -251,7 +264,7 @@
             past.push((now, values.clone()));
             let seen: Vec<Seen> = values.iter().enumerate().map(|(number, value)| {
                 let zone = if number == 0 { "a" } else { "b" };
-                process(&format!("{zone}-{number}"), "forager_news_age_seconds", f64::from(*value))
+                process(&format!("{zone}-{number}"), "proxy_update_age_seconds", f64::from(*value))
             }).collect();
             let told = alerts.look(now, &seen);
             for (group, numbers) in [("a", 0..1), ("b", 1..3)] {
--- a/crates/meadow/src/play.rs
+++ b/crates/meadow/src/play.rs
@@ -94,9 +94,9 @@
     pub field: Rc<Field>,
     /// The machines.
     pub site: Site,
-    scouts: Vec<Process>,
-    combs: Vec<Process>,
-    foragers: Vec<Process>,
+    registries: Vec<Process>,
+    stores: Vec<Process>,
+    proxies: Vec<Process>,
     servers: Vec<Rc<Server>>,
     early: Vec<Rc<EarlyServer>>,
     clients: Vec<JoinHandle<()>>,
@@ -133,12 +133,12 @@
         let start = |class, program| {
             (0..MACHINES).map(|n| site.start(class, n, program, true)).collect::<Result<Vec<_>, _>>()
         };
-        let combs = start(Class::Core, "comb")?;
-        let scouts = start(Class::Core, "scout")?;
-        let foragers = start(Class::Edge, "forager")?;
+        let stores = start(Class::Core, "config-store")?;
+        let registries = start(Class::Core, "registry")?;
+        let proxies = start(Class::Edge, "proxy")?;
         let (servers, early, clients) = Default::default();
         let leaving = Rc::default();
-        let mut play = Play { field, site, scouts, combs, foragers, servers, early, clients, leaving };
+        let mut play = Play { field, site, registries, stores, proxies, servers, early, clients, leaving };
         for n in 0..MACHINES {
             play.server("bells", n).await?;
         }
@@ -307,22 +307,22 @@
     }
 
     async fn core_is_lost(&mut self) -> Result<(), PlayError> {
-        self.scouts[LOST].kill();
-        self.combs[LOST].kill();
+        self.registries[LOST].kill();
+        self.stores[LOST].kill();
         self.field.say(format!("core machine {LOST} lost its processes (SIGKILL)"));
         sleep(DOWN).await;
-        self.combs[LOST] = self.site.start(Class::Core, LOST, "comb", false)?;
-        self.scouts[LOST] = self.site.start(Class::Core, LOST, "scout", false)?;
+        self.stores[LOST] = self.site.start(Class::Core, LOST, "config-store", false)?;
+        self.registries[LOST] = self.site.start(Class::Core, LOST, "registry", false)?;
         self.field.say(format!("core machine {LOST} is back, with its disk"));
         Ok(())
     }
 
     async fn proxy_ends(&mut self) -> Result<(), PlayError> {
         self.field.say("proxy 1 was told to end (SIGTERM)");
-        let ended = self.foragers[1].end().await;
+        let ended = self.proxies[1].end().await;
         if ended.is_none_or(|status| !status.success()) {
             let how = ended.map_or("not at all".into(), |status| status.to_string());
-            self.field.records.borrow_mut().ended.push(format!("forager-1, at SIGTERM: {how}"));
+            self.field.records.borrow_mut().ended.push(format!("proxy-1, at SIGTERM: {how}"));
         }
         self.field.say("proxy 1 has ended");
         self.restart_proxy(1)?;
@@ -333,14 +333,14 @@
 
     fn restart_proxy(&mut self, n: usize) -> Result<(), PlayError> {
         self.field.records.borrow_mut().restarts.push(self.field.now());
-        self.foragers[n] = self.site.start(Class::Edge, n, "forager", false)?;
+        self.proxies[n] = self.site.start(Class::Edge, n, "proxy", false)?;
         Ok(())
     }
 
     /// Kills all proxies at once, again and again, while new revisions of tenants come.
     async fn herds_are_killed(&mut self) -> Result<(), PlayError> {
         for turn in 0..HERDS {
-            self.foragers.iter_mut().for_each(Process::kill);
+            self.proxies.iter_mut().for_each(Process::kill);
             self.field.say("all proxies were killed (SIGKILL)");
             for n in 0..MACHINES {
                 self.restart_proxy(n)?;
@@ -371,7 +371,7 @@
     /// Notes which processes have ended unasked.
     fn note_ends(&mut self) {
         let mut records = self.field.records.borrow_mut();
-        for process in self.scouts.iter_mut().chain(&mut self.combs).chain(&mut self.foragers) {
+        for process in self.registries.iter_mut().chain(&mut self.stores).chain(&mut self.proxies) {
             records.watched += 1;
             if let Some(status) = process.ended() {
                 records.ended.push(format!("{}, unasked: {status}", process.name));
--- a/crates/meadow/src/site.rs
+++ b/crates/meadow/src/site.rs
@@ -18,9 +18,10 @@
 /// The machines' zones.
 const ZONES: [&str; MACHINES] = ["north", "middle", "south"];
 /// The programs.
-pub const PROGRAMS: [&str; 3] = ["forager", "scout", "comb"];
+pub const PROGRAMS: [&str; 3] = ["proxy", "registry", "config-store"];
 /// What builds them.
-pub const BUILD: &str = "cargo build --release -p pinerelay-forager -p pinerelay-scout -p pinerelay-comb";
+pub const BUILD: &str =
+    "cargo build --release -p pinerelay-proxy -p pinerelay-registry -p pinerelay-config-store";
 
 /// Ports of a machine, counted from the first: the programs' own, and what each serves.
 const INTERNAL: u16 = 0;
@@ -51,9 +52,9 @@
 /// A class of machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// With a scout and a comb.
+    /// With a registry and a configuration store.
     Core,
-    /// With a forager.
+    /// With a proxy.
     Edge,
 }
 
@@ -128,10 +129,10 @@
         let ms = |time: Duration| format!("\"{}ms\"", time.as_millis());
         let seeds: Vec<String> = self.controls().iter().map(|c| format!("\"{c}\"")).collect();
         let listen = match program {
-            "forager" => {
+            "proxy" => {
                 format!("public_http = \"{}\"\nreadiness = \"{}\"\n", self.public(n), self.readiness(n))
             }
-            "scout" => format!("control = \"{}\"\n", self.controls()[n]),
+            "registry" => format!("control = \"{}\"\n", self.controls()[n]),
             _ => String::new(),
         };
         let mut text = format!(
@@ -140,7 +141,7 @@
         );
         let _ = writeln!(text, "internal_ports = [{}, {}]", self.base + INTERNAL, self.base + INTERNAL_LAST);
         let _ = writeln!(text, "seed_nodes = [{}]\nheartbeat = {}", seeds.join(", "), ms(field::HEARTBEAT));
-        if program == "comb" {
+        if program == "config-store" {
             let _ = writeln!(text, "data_dir = {:?}", self.folder.join(format!("data-{n}")));
         }
         let zones: Vec<String> = ZONES.iter().map(|zone| format!("{zone} = \"here\"")).collect();
@@ -172,7 +173,7 @@
         let (settings, log) = (file("toml"), file("log"));
         fs::write(&settings, self.settings(class, n, program, first_start))
             .map_err(|e| SiteError::Io(settings.clone(), e))?;
-        if program == "comb" {
+        if program == "config-store" {
             let data = self.folder.join(format!("data-{n}"));
             fs::create_dir_all(&data).map_err(|e| SiteError::Io(data, e))?;
         }
--- a/crates/meadow/tests/judge.rs
+++ b/crates/meadow/tests/judge.rs
@@ -161,7 +161,7 @@
     let older = |r: &mut Records| r.acknowledged.values_mut().for_each(BTreeMap::clear);
     expect_that!(broken(older), eq(&[Rule::ReadBack]), "another value");
     expect_that!(broken(|r| r.served = 1), eq(&[Rule::Served]), "served too few");
-    expect_that!(broken(|r| r.ended.push("scout-1".into())), eq(&[Rule::Ends]), "ended unasked");
+    expect_that!(broken(|r| r.ended.push("registry-1".into())), eq(&[Rule::Ends]), "ended unasked");
 }
 
 #[gtest]
--- a/crates/meadow/tests/loopback.rs
+++ b/crates/meadow/tests/loopback.rs
@@ -23,7 +23,7 @@
     let folder = meadow().parent().map(PathBuf::from).expect("a folder");
     let mut cargo = Command::new(std::env::var_os("CARGO").unwrap_or("cargo".into()));
     cargo.current_dir(env!("CARGO_MANIFEST_DIR")).args(["build", "--locked", "--workspace"]);
-    cargo.args(["--bin", "forager", "--bin", "scout", "--bin", "comb"]);
+    cargo.args(["--bin", "proxy", "--bin", "registry", "--bin", "config-store"]);
     if folder.ends_with("release") {
         cargo.arg("--release");
     }
--- a/crates/propolis/src/logs.rs
+++ b/crates/node-runtime/src/logs.rs
@@ -1,12 +1,12 @@
-//! Logs: lines for changes of state alone, on standard error; what happens often is counted.
+//! Logging to standard error. Lines are written for changes of state alone; what happens often is counted in metrics.
 
 use logforth::append::Stderr;
 use logforth::bridge::log::LogBridge;
 
-/// What is logged.
+/// The least severe lines that are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Level {
-    /// What makes the process end.
+    /// What ends the process.
     Error,
     /// What an operator should look at.
     Warn,
@@ -17,7 +17,7 @@
 }
 
 impl Level {
-    /// Reads a level's name.
+    /// Parses the name of a level.
     pub fn parse(text: &str) -> Option<Level> {
         match text {
             "error" => Some(Level::Error),
@@ -29,15 +29,21 @@
     }
 }
 
-/// Begins to log. A second call changes nothing.
-pub fn begin(level: Level) {
-    let logger = logforth::core::builder().dispatch(|d| d.append(Stderr::default())).build();
-    if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
-        log::set_max_level(match level {
+impl From<Level> for log::LevelFilter {
+    fn from(level: Level) -> log::LevelFilter {
+        match level {
             Level::Error => log::LevelFilter::Error,
             Level::Warn => log::LevelFilter::Warn,
             Level::Info => log::LevelFilter::Info,
             Level::Debug => log::LevelFilter::Debug,
-        });
+        }
+    }
+}
+
+/// Starts logging. A second call changes nothing.
+pub fn start(level: Level) {
+    let logger = logforth::core::builder().dispatch(|dispatch| dispatch.append(Stderr::default())).build();
+    if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
+        log::set_max_level(level.into());
     }
 }
--- a/crates/propolis/tests/hostile_peer.rs
+++ b/crates/peer-link/tests/hostile_peer.rs
@@ -4,8 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use googletest::prelude::*;
-use pinerelay_propolis::link::{Event, Events, Links};
-use pinerelay_propolis::speech::{self, Hello, Incoming, Role, Speech, GREETING, HELLO_MOST, LONGEST};
+use pinerelay_peer_link::codec::{self, Decoder, GREETING, MAX_HELLO_LENGTH, MAX_MESSAGE_LENGTH};
+use pinerelay_peer_link::link::{LinkEvent, LinkEvents, Links};
+use pinerelay_peer_link::message::{Hello, PeerMessage, Role};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::runtime::{Builder, LocalOptions};
@@ -15,7 +16,7 @@
 const PIECE: usize = 256 * 1024;
 
 fn hello() -> Hello {
-    Hello { node: "n".into(), ip: "127.0.0.9".into(), role: Role::Scout, life: 1 }
+    Hello { node: "n".into(), ip: "127.0.0.9".into(), role: Role::Registry, process_id: 1 }
 }
 
 /// Plays on one thread, as the programs run.
@@ -25,7 +26,7 @@
 }
 
 /// Links that listen at a free port, and a connection to them that has said who it is.
-async fn met(ip: [u8; 4]) -> (std::rc::Rc<Links>, Events, SocketAddrV4, TcpStream) {
+async fn met(ip: [u8; 4]) -> (std::rc::Rc<Links>, LinkEvents, SocketAddrV4, TcpStream) {
     let (links, events) = Links::new();
     let free = std::net::TcpListener::bind((Ipv4Addr::from(ip), 0)).expect("a port");
     let port = free.local_addr().expect("bound").port();
@@ -39,14 +40,14 @@
 async fn meet(at: SocketAddrV4) -> TcpStream {
     let mut stream = TcpStream::connect(at).await.expect("a connection");
     stream.write_all(&GREETING).await.expect("written");
-    stream.write_all(&speech::write(&Speech::Hello(hello()))).await.expect("written");
+    stream.write_all(&codec::encode(&PeerMessage::Hello(hello()))).await.expect("written");
     stream
 }
 
 /// The greeting and what is said, in messages.
-async fn until_met(events: &mut Events) -> u64 {
+async fn until_met(events: &mut LinkEvents) -> u64 {
     loop {
-        if let Some(Event::Said(peer, Speech::Hello(_))) = events.recv().await {
+        if let Some(LinkEvent::Received(peer, PeerMessage::Hello(_))) = events.recv().await {
             return peer;
         }
     }
@@ -73,17 +74,21 @@
     play(async || {
         let (links, mut events, _, mut stream) = met([127, 89, 0, 1]).await;
         until_met(&mut events).await;
-        let here = speech::write(&Speech::Here);
+        let here = codec::encode(&PeerMessage::KeepAlive);
         let piece = here.repeat(PIECE / here.len());
         flood(&mut stream, &piece, MUCH).await;
-        let told = links.told("p");
-        let heard = told.iter().find(|(name, _)| name == "p_link_heard_bytes_total").map(|(_, bytes)| *bytes);
+        let metrics = links.metrics("p");
+        let heard = metrics.iter().find(|metric| metric.name == "p_link_received_bytes_total");
+        let heard = heard.map(|metric| metric.value);
         // They come to 5 bytes each: room for four thousand, and what was read with them.
         expect_that!(heard, some(lt(2.5e5)));
         // Who takes them gets them, and all after.
         for _ in 0..20_000 {
             let event = events.recv().await;
-            assert_that!(event, some(matches_pattern!(Event::Said(anything(), eq(&Speech::Here)))));
+            assert_that!(
+                event,
+                some(matches_pattern!(LinkEvent::Received(anything(), eq(&PeerMessage::KeepAlive))))
+            );
         }
     });
 }
@@ -97,35 +102,35 @@
         for _ in 0..4 {
             let mut stream = meet(at).await;
             until_met(&mut events).await;
-            stream.write_all(&(LONGEST as u32).to_le_bytes()).await.expect("written");
-            flood(&mut stream, &vec![0; PIECE], LONGEST - PIECE).await;
+            stream.write_all(&(MAX_MESSAGE_LENGTH as u32).to_le_bytes()).await.expect("written");
+            flood(&mut stream, &vec![0; PIECE], MAX_MESSAGE_LENGTH - PIECE).await;
             others.push(stream);
         }
         let mut cut = 0;
-        small.write_all(&speech::write(&Speech::Bye)).await.expect("written");
+        small.write_all(&codec::encode(&PeerMessage::Goodbye)).await.expect("written");
         loop {
             match events.recv().await.expect("events") {
-                Event::Down(peer) => {
+                LinkEvent::Disconnected(peer) => {
                     assert_that!(peer, not(eq(own)));
                     cut += 1;
                 }
-                Event::Said(peer, Speech::Bye) if peer == own => break,
+                LinkEvent::Received(peer, PeerMessage::Goodbye) if peer == own => break,
                 _ => {}
             }
         }
         expect_that!(cut, ge(1));
-        expect_that!(links.told("p").len(), ge(1));
+        expect_that!(links.metrics("p").len(), ge(1));
     });
 }
 
 #[gtest]
 fn the_first_message_is_short() {
     let first = |node: String| {
-        let mut come = Incoming::default();
-        come.room().extend_from_slice(&GREETING);
-        come.room().extend_from_slice(&speech::write(&Speech::Hello(Hello { node, ..hello() })));
-        come.take().map(|speech| speech.is_some())
+        let mut come = Decoder::default();
+        come.read_buffer().extend_from_slice(&GREETING);
+        come.read_buffer().extend_from_slice(&codec::encode(&PeerMessage::Hello(Hello { node, ..hello() })));
+        come.next_message().map(|message| message.is_some())
     };
     expect_that!(first("n".into()), ok(eq(&true)));
-    expect_that!(first("n".repeat(HELLO_MOST)), err(anything()));
+    expect_that!(first("n".repeat(MAX_HELLO_LENGTH)), err(anything()));
 }
--- a/crates/forager/examples/boundary.rs
+++ b/crates/proxy/examples/boundary.rs
@@ -8,9 +8,9 @@
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::Request;
-use pinerelay_cells::routes::Tenant;
-use pinerelay_forager::forwarded::{Forwarded, Frame, Received};
-use pinerelay_forager::request::{Head, DEADLINE, EXPECT_SERVER};
+use pinerelay_config_state::resources::Tenant;
+use pinerelay_proxy::forwarded_request::{BodyFraming, ForwardedRequest, ReceivedRequest};
+use pinerelay_proxy::request_head::{RequestHead, DEADLINE, EXPECT_SERVER};
 
 const ROUNDS: u32 = 200_000;
 
@@ -30,11 +30,13 @@
 fn main() {
     let body = Bytes::from(vec![7; 12_000]);
     let keys = vec!["wsjnbanfqasnmgkcuyj8".into(), "xd9dnn2ctnfzs989anu6".into()];
-    let tenant = Arc::new(Tenant { name: "yefi830".into(), keys, priority: None, rate: 94.0, burst: 94.0 });
+    let tenant =
+        Arc::new(Tenant { name: "yefi830".into(), api_keys: keys, priority: None, rate: 94.0, burst: 94.0 });
     let parts = received();
-    let head = Head::read(&parts).expect("a head");
-    let frame = Frame::Length(body.len() as u64);
-    let new = || Received::new(parts.method.clone(), &head, Some(&tenant), Duration::from_secs(1), frame);
+    let head = RequestHead::parse(&parts).expect("a head");
+    let frame = BodyFraming::Length(body.len() as u64);
+    let new =
+        || ReceivedRequest::new(parts.method.clone(), &head, Some(&tenant), Duration::from_secs(1), frame);
     let time = |what: &str, run: &dyn Fn()| {
         let begun = Instant::now();
         (0..ROUNDS).for_each(|_| run());
@@ -48,13 +50,13 @@
         black_box(headers);
     });
     time("received, built and checked", &|| {
-        let forwarded = Forwarded::new(new().expect("received"), parts.headers.clone());
+        let forwarded = ForwardedRequest::new(new().expect("received"), parts.headers.clone());
         let request = forwarded.attempt(body.clone().into(), server.clone(), 900);
         assert!(black_box(request).is_ok());
     });
     let received = new().expect("received");
-    let forwarded = Forwarded::new(received.clone(), parts.headers.clone());
+    let forwarded = ForwardedRequest::new(received.clone(), parts.headers.clone());
     let request = forwarded.attempt(body.clone().into(), server.clone(), 900);
-    let request = request.map_err(|(breach, _)| breach).expect("no breach");
+    let request = request.map_err(|rejected| rejected.violation).expect("no breach");
     time("checks alone", &|| assert!(black_box(received.check(black_box(&request))).is_ok()));
 }
--- /dev/null
+++ b/crates/proxy/src/services.rs
@@ -0,0 +1,254 @@
+//! The services' servers: who they are to the decisions, and one node that decides for each service.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+use mountbend::control::Controller;
+use mountbend::interface::{
+    Class, CountName, Effect, Event, Limits, ListKind, Member, MemberState, Micros, Rules, ServerId, Settings,
+};
+use pinerelay_config_state::hash;
+use pinerelay_config_state::resources::{Route, RouteType};
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_traffic::clock::Clock;
+use pinerelay_traffic::node::{Node, Peers};
+use pinerelay_traffic::ports::{Core, MemberSource, QuotaStore};
+
+use crate::proxied_request::ProxyTraffic;
+use crate::server_pool::ServerPool;
+use crate::upstream::UpstreamConnector;
+
+/// How long the slow start of a server lasts that reports one.
+const SLOW_START: Micros = 3_000_000;
+/// The share of its capacity that such a server has at its start.
+const SLOW_START_SHARE: f64 = 0.5;
+/// What a server in another zone costs, beside one in this zone.
+const CROSS_ZONE_PRICE: f64 = 0.15;
+/// A request that no server may take now waits for one part in so many of its latency target: rejected later, its client would
+/// have no time to go elsewhere.
+const QUEUE_TIME_DIVISOR: u64 = 5;
+/// Attempts at one request, as far as the decisions go; each route has a limit of its own.
+const MAX_ATTEMPTS: u32 = 16;
+
+/// What the decisions need of a route, which many routes may have in common. Times in microseconds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct RouteClass {
+    latency_target: Micros,
+    timeout: Micros,
+    is_idempotent: bool,
+}
+
+impl RouteClass {
+    fn of(route: &Route) -> RouteClass {
+        let micros = |duration: Duration| duration.as_micros() as Micros;
+        RouteClass {
+            latency_target: micros(route.latency_target),
+            timeout: micros(route.timeout),
+            is_idempotent: route.route_type == RouteType::Safe,
+        }
+    }
+
+    fn to_class(self) -> Class {
+        Class {
+            on_time: self.latency_target / QUEUE_TIME_DIVISOR,
+            deadline: self.timeout,
+            effect: if self.is_idempotent { Effect::Safe } else { Effect::Unsafe },
+            credit: 1.0,
+            late_worth: 1.0,
+            ..Class::default()
+        }
+    }
+}
+
+/// One service: its node, and the classes of requests that it knows.
+pub struct Service {
+    /// The node that decides.
+    pub node: Rc<Node<ProxyTraffic>>,
+    classes: RefCell<Vec<RouteClass>>,
+}
+
+/// A server, as the decisions know it.
+#[derive(Debug, Clone)]
+struct NumberedServer {
+    number: ServerId,
+    service: String,
+}
+
+/// All services that routes or servers name.
+pub struct Services {
+    clock: Rc<Clock>,
+    pool: Rc<ServerPool>,
+    /// The zones that servers have named; this machine's is the first.
+    zones: RefCell<Vec<String>>,
+    seed: u64,
+    /// This proxy's index, and the number of proxies.
+    place: Cell<(u32, u32)>,
+    services: RefCell<BTreeMap<String, Rc<Service>>>,
+    servers: RefCell<BTreeMap<String, NumberedServer>>,
+}
+
+/// The number of this machine's zone.
+const OWN_ZONE: u32 = 0;
+
+/// Admission comes before a service's node, which needs no quotas of its own.
+struct NoQuotas;
+
+impl QuotaStore for NoQuotas {
+    fn add(&self, _: CountName, _: f64, _: Micros) {}
+
+    fn settled(&self) -> bool {
+        true
+    }
+}
+
+/// Servers are reported as they become known; there is no list to fetch.
+struct NoMemberList;
+
+impl MemberSource for NoMemberList {
+    fn fetch(&self) {}
+}
+
+impl Services {
+    /// No services yet. `zone` is this machine's.
+    pub fn new(clock: Rc<Clock>, pool: Rc<ServerPool>, zone: &str, seed: u64) -> Rc<Services> {
+        Rc::new(Services {
+            clock,
+            pool,
+            zones: RefCell::new(vec![zone.into()]),
+            seed,
+            place: Cell::new((0, 1)),
+            services: RefCell::default(),
+            servers: RefCell::default(),
+        })
+    }
+
+    /// The number of a zone.
+    fn zone_number(&self, name: &str) -> u32 {
+        let mut zones = self.zones.borrow_mut();
+        let found = zones.iter().position(|zone| zone == name);
+        found.unwrap_or_else(|| {
+            zones.push(name.into());
+            zones.len() - 1
+        }) as u32
+    }
+
+    /// The service of a name.
+    pub fn service(&self, name: &str) -> Rc<Service> {
+        if let Some(service) = self.services.borrow().get(name) {
+            return service.clone();
+        }
+        let service = Rc::new(Service { node: self.new_node(name), classes: RefCell::default() });
+        self.services.borrow_mut().insert(name.into(), service.clone());
+        service
+    }
+
+    fn new_node(&self, name: &str) -> Rc<Node<ProxyTraffic>> {
+        let (index, proxies) = self.place.get();
+        let settings = Settings {
+            me: index,
+            nodes: proxies,
+            zone: OWN_ZONE,
+            cross_zone_price: CROSS_ZONE_PRICE,
+            limits: Limits { cancel: true, retry_after: true, try_limit: MAX_ATTEMPTS, ..Limits::default() },
+            rules: Rules { cold_from: SLOW_START_SHARE, cold: SLOW_START, ..Rules::default() },
+            ..Settings::default()
+        };
+        let seed = hash::mix64(self.seed ^ hash::hash_parts(&[name.as_bytes()]));
+        let (pool, clock) = (self.pool.clone(), self.clock.clone());
+        Node::new(Controller::new(seed, settings), MAX_ATTEMPTS, self.clock.clone(), |core| Peers {
+            upstream: UpstreamConnector::new(name, pool, clock, core),
+            store: Rc::new(NoQuotas),
+            members: Rc::new(NoMemberList),
+        })
+    }
+
+    /// Sets this proxy's place among all of them.
+    pub fn placed(&self, index: u32, proxies: u32) {
+        self.place.set((index, proxies));
+        for service in self.services.borrow().values() {
+            service.node.event(Event::Placed { me: index, nodes: proxies });
+        }
+    }
+
+    /// What is known of a server has changed; `None` if it takes no requests.
+    pub fn server_changed(&self, id: &str, server: Option<&Server>) {
+        let Some(NumberedServer { number, service }) = self.numbered(id, server) else { return };
+        self.pool.set(number, id, server);
+        let member = self.member(number, server);
+        let node = self.service(&service).node.clone();
+        node.event(Event::Members { kind: ListKind::Changes, entries: vec![member] });
+        if server.is_none() {
+            self.servers.borrow_mut().remove(id);
+        }
+    }
+
+    /// The number of a server, which is given to one that is new; `None` for an unknown one that takes no requests.
+    fn numbered(&self, id: &str, server: Option<&Server>) -> Option<NumberedServer> {
+        if let Some(known) = self.servers.borrow().get(id) {
+            return Some(known.clone());
+        }
+        let new = NumberedServer { number: self.new_number(id), service: server?.service.clone() };
+        self.servers.borrow_mut().insert(id.into(), new.clone());
+        Some(new)
+    }
+
+    /// A server as the decisions know it.
+    fn member(&self, number: ServerId, server: Option<&Server>) -> Member {
+        let Some(server) = server else {
+            let state = MemberState::Out;
+            return Member { server: number, zone: OWN_ZONE, state, weight: 1.0, ..Member::default() };
+        };
+        let state = match server.state {
+            ServerState::Ready => MemberState::In,
+            ServerState::Draining => MemberState::Draining,
+            ServerState::Lost | ServerState::Gone => MemberState::Out,
+        };
+        let warm_at = self.clock.now() + u64::from(server.warmup_ms) * 1_000;
+        let started = if server.warmup_ms > 0 { warm_at.saturating_sub(SLOW_START) } else { 0 };
+        Member {
+            server: number,
+            zone: self.zone_number(&server.zone),
+            state,
+            weight: f64::from(server.capacity),
+            started,
+            ..Member::default()
+        }
+    }
+
+    /// A number for a new server: the same at every proxy, unless two ids happen to share one.
+    fn new_number(&self, id: &str) -> ServerId {
+        let servers = self.servers.borrow();
+        let taken: BTreeSet<u32> = servers.values().map(|server| server.number.0).collect();
+        let mut number = (hash::hash_parts(&[id.as_bytes()]) >> 32) as u32;
+        while taken.contains(&number) {
+            number = number.wrapping_add(1);
+        }
+        ServerId(number)
+    }
+
+    /// The number of servers that are known.
+    pub fn server_count(&self) -> usize {
+        self.servers.borrow().len()
+    }
+
+    /// All services' nodes.
+    pub fn nodes(&self) -> Vec<Rc<Node<ProxyTraffic>>> {
+        self.services.borrow().values().map(|service| service.node.clone()).collect()
+    }
+}
+
+impl Service {
+    /// The class of a route's requests, as the service's node knows it.
+    pub fn class(&self, route: &Route) -> usize {
+        let class = RouteClass::of(route);
+        let mut classes = self.classes.borrow_mut();
+        if let Some(index) = classes.iter().position(|known| *known == class) {
+            return index;
+        }
+        classes.push(class);
+        self.node.retune(classes.iter().map(|class| class.to_class()).collect(), MAX_ATTEMPTS);
+        classes.len() - 1
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/subscriber/leases.rs
@@ -0,0 +1,82 @@
+//! Leases of quota units: each is requested from the registry that has the duty for its tenant.
+
+use std::collections::BTreeMap;
+
+use pinerelay_admission::duty::{slice_of, slice_owner};
+use pinerelay_admission::lease::{LeaseGrant, LeaseRequest};
+use pinerelay_admission::Micros;
+use pinerelay_config_state::hash::rendezvous_order;
+use pinerelay_peer_link::link::ConnectionId;
+use pinerelay_peer_link::message::{PeerMessage, TenantGrant};
+
+use super::{Output, Subscriber};
+
+impl Subscriber {
+    /// Requests the leases that are wanted now.
+    pub(super) fn request_leases(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let requests = self.leases.lease_requests(now);
+        if requests.is_empty() {
+            return;
+        }
+        let alive = self.alive_registries();
+        let mut by_connection: BTreeMap<ConnectionId, Vec<LeaseRequest>> = BTreeMap::new();
+        for request in requests {
+            let owner = self.owner_of(&request.tenant, &alive);
+            if request.is_on_share() {
+                // Another registry may have the duty than the one that is asked: what was spent of a share is reported to all.
+                let report = LeaseRequest { wanted: 0.0, returned: 0.0, ..request.clone() };
+                for other in self.registries.keys().filter(|other| Some(**other) != owner) {
+                    by_connection.entry(*other).or_default().push(report.clone());
+                }
+            }
+            match owner {
+                Some(owner) => by_connection.entry(owner).or_default().push(request),
+                None => self.leases.no_owner_reached(now, &request.tenant),
+            }
+        }
+        for (connection, requests) in by_connection {
+            self.update_registry(connection, |registry| registry.open_lease_requests.push_back(now));
+            out.push(Output::Send(connection, PeerMessage::LeaseRequests(requests)));
+        }
+    }
+
+    /// The registries that reach a majority, by address.
+    fn alive_registries(&self) -> BTreeMap<String, ConnectionId> {
+        let alive = self.registries.iter().filter(|(_, registry)| registry.has_majority());
+        alive.map(|(&connection, registry)| (registry.hello.ip.clone(), connection)).collect()
+    }
+
+    /// The registry that has the duty for a tenant, as far as this proxy sees. A proxy that sees other registries alive than they
+    /// see themselves finds the owner among the next ones.
+    fn owner_of(&self, tenant: &str, alive: &BTreeMap<String, ConnectionId>) -> Option<ConnectionId> {
+        let slice = slice_of(tenant);
+        let candidates = rendezvous_order(&format!("duty-{slice}"), alive.keys());
+        debug_assert!(candidates.first().copied() == slice_owner(slice, alive.keys()));
+        let misdirected = self.misdirected.get(&slice).copied().unwrap_or(0);
+        candidates.get(misdirected % candidates.len().max(1)).map(|name| alive[*name])
+    }
+
+    /// A registry has answered lease requests.
+    pub(super) fn on_lease_grants(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        grants: Vec<TenantGrant>,
+        out: &mut Vec<Output>,
+    ) {
+        let registry = self.registries.get_mut(&connection);
+        let asked_at = registry.and_then(|registry| registry.open_lease_requests.pop_front());
+        let Some(asked_at) = asked_at else { return out.push(Output::Close(connection)) };
+        for TenantGrant { tenant, grant } in grants {
+            let slice = slice_of(&tenant);
+            if grant == LeaseGrant::NotOwner {
+                *self.misdirected.entry(slice).or_default() += 1;
+            } else {
+                self.misdirected.remove(&slice);
+            }
+            let decisions = self.leases.granted(now, asked_at, &tenant, grant);
+            out.extend(decisions.into_iter().map(Output::Decided));
+        }
+        self.request_leases(now, out);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream.rs
@@ -0,0 +1,445 @@
+//! Attempts at servers, and how they end.
+//!
+//! An attempt connects, sends the request once, and reads the response. Its execution status is raised before the first byte is
+//! written, and lowered again only if none was: so an attempt that is cancelled at any point leaves a status that is true.
+
+use std::ops::ControlFlow;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::http::response::Parts;
+use hyper::{Request, Response, Version};
+use mountbend::interface::{Micros, Outcome, RequestId, ServerId};
+use pinerelay_config_state::execution::ExecutionStatus;
+use pinerelay_traffic::body::BadBody;
+use pinerelay_traffic::clock::Clock;
+use pinerelay_traffic::http::{framed, Broken, Connection, Sent};
+use pinerelay_traffic::long::{take, Download, End, Taken, Upload};
+use pinerelay_traffic::node::STOP_BEFORE;
+use pinerelay_traffic::ports::{Ends, Upstream};
+use tokio::task::AbortHandle;
+use tokio::time::{timeout_at, Instant};
+
+use crate::attempt_outcome::{AttemptOutcome, ConnectionFate, ResponseUse};
+use crate::forwarded_request::RejectedAttempt;
+use crate::proxied_request::{ProxiedRequest, ProxyTraffic};
+use crate::request_head::KEEP_ALIVE;
+use crate::response_class::{classify, names_request, ResponseClass};
+use crate::server_pool::{ConnectError, ServerConnection, ServerPool, DEFAULT_KEEP_ALIVE};
+
+#[cfg(test)]
+mod tests;
+
+/// Bytes of a body that are read before the rest is passed on as it comes.
+pub const BUFFERED_BODY_LENGTH: usize = 64 * 1024;
+/// An idle connection is closed at this part of the time after which its server closes it.
+const KEEP_ALIVE_USE: f64 = 0.8;
+/// An attempt is given up so long before its client gives up.
+const STOP_MARGIN: Duration = Duration::from_micros(STOP_BEFORE);
+
+/// Connects a service's requests to its servers.
+pub struct UpstreamConnector {
+    service: String,
+    servers: Rc<ServerPool>,
+    clock: Rc<Clock>,
+    core: Weak<dyn Ends<ProxyTraffic>>,
+    this: Weak<UpstreamConnector>,
+}
+
+/// A complete response.
+struct CompleteResponse {
+    class: ResponseClass,
+    response: Response<Bytes>,
+    /// For how long its connection may be kept; `None` if it may not.
+    keep_alive: Option<Duration>,
+}
+
+/// The beginning of a response that is passed on as it comes.
+struct StreamedResponse {
+    head: Parts,
+    first: Bytes,
+    rest: Incoming,
+    /// For how long its connection may be kept; `None` if it may not.
+    keep_alive: Option<Duration>,
+}
+
+/// What came back on a connection.
+enum ReceivedResponse {
+    Complete(CompleteResponse),
+    Streamed(StreamedResponse),
+}
+
+/// How an attempt ended, with the response that is the client's.
+struct AttemptEnd {
+    outcome: Outcome,
+    response: Option<Response<Bytes>>,
+}
+
+impl From<Outcome> for AttemptEnd {
+    fn from(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { outcome, response: None }
+    }
+}
+
+/// A connection that carries an attempt.
+struct AttemptConnection {
+    connection: Connection,
+    generation: u64,
+    is_reused: bool,
+}
+
+/// One attempt at one server.
+struct Attempt<'a> {
+    connector: &'a UpstreamConnector,
+    id: &'a RequestId,
+    number: usize,
+    server: ServerId,
+    request: &'a ProxiedRequest,
+    /// When it is given up.
+    stop: Micros,
+}
+
+impl UpstreamConnector {
+    /// The connector of a service.
+    pub fn new(
+        service: &str,
+        servers: Rc<ServerPool>,
+        clock: Rc<Clock>,
+        core: Weak<dyn Ends<ProxyTraffic>>,
+    ) -> Rc<UpstreamConnector> {
+        let service = service.into();
+        Rc::new_cyclic(|this| UpstreamConnector { service, servers, clock, core, this: this.clone() })
+    }
+
+    /// Takes the permission to send a request to one server more: as its route allows, and the retry budget of all nodes. The
+    /// first server needs none.
+    fn take_retry(&self, request: &ProxiedRequest) -> bool {
+        let sent = request.state.sent.get();
+        let now = self.clock.now();
+        sent == 0
+            || sent < request.max_attempts
+                && self.servers.retries.borrow_mut().try_take(now, &self.service, self.servers.proxies())
+    }
+}
+
+impl Attempt<'_> {
+    fn servers(&self) -> &ServerPool {
+        &self.connector.servers
+    }
+
+    fn upload(&self) -> Option<&Rc<Upload>> {
+        self.request.body.long()
+    }
+
+    /// Makes the attempt. A kept connection that turns out closed before anything was written is replaced by a new one.
+    async fn run(&self) -> AttemptEnd {
+        let connect_by = self.request.body.connect_by(self.connector.clock.instant(self.stop));
+        let mut unsent_message = None;
+        loop {
+            let connection = match self.connect(connect_by, unsent_message.is_some()).await {
+                Ok(connection) => connection,
+                Err(outcome) => return outcome.into(),
+            };
+            match self.send(connection, unsent_message.take(), connect_by).await {
+                ControlFlow::Break(end) => return end,
+                ControlFlow::Continue(message) => unsent_message = Some(message),
+            }
+        }
+    }
+
+    /// Gets a connection on which the request may be sent. Nothing has been written yet.
+    async fn connect(&self, connect_by: Instant, new_only: bool) -> Result<ServerConnection, Outcome> {
+        let connect = self.servers().connect(self.server, new_only, connect_by - Instant::now());
+        let connection = match timeout_at(connect_by, connect).await {
+            Ok(Ok(connection)) => connection,
+            Ok(Err(ConnectError::Exhausted)) => return Err(Outcome::Full),
+            Ok(Err(ConnectError::Failed)) | Err(_) => return Err(Outcome::ConnectFailed),
+        };
+        let vigil = &self.servers().common.vigil;
+        if vigil.behind() {
+            // The message that withdraws this server may not have been read yet.
+            vigil.caught_up().await;
+            if !self.servers().connections.stands(self.server, connection.generation) {
+                return Err(Outcome::ConnectFailed);
+            }
+        }
+        Ok(connection)
+    }
+
+    /// Sends the request on a connection and reads the response. Continues with the message if nothing was written and a new
+    /// connection may be tried.
+    async fn send(
+        &self,
+        server_connection: ServerConnection,
+        unsent_message: Option<Request<Sent>>,
+        connect_by: Instant,
+    ) -> ControlFlow<AttemptEnd, Request<Sent>> {
+        let ServerConnection { mut connection, generation, server_id, idle } = server_connection;
+        let idle_for = idle.as_ref().map(|idle| idle.age());
+        let message = self.message(unsent_message, server_id);
+        let message = match message {
+            Some(message) if self.is_still_wanted(connect_by) => message,
+            unwanted => {
+                self.servers().return_unused(self.server, connection, generation, idle);
+                unwanted.into_iter().for_each(|message| give_back(message.into_body()));
+                return ControlFlow::Break(Outcome::Ignored.into());
+            }
+        };
+        let execution_before = self.note_sending();
+        let heard = connection.heard();
+        let result = tokio::select! {
+            biased;
+            result = self.exchange(&mut connection, message, idle.is_some()) => result,
+            // Whether the last byte went out is not known here, so the request may have been executed.
+            () = self.request.body.time_up(connect_by, STOP_MARGIN) => {
+                return ControlFlow::Break(Outcome::TimedOut.into());
+            }
+        };
+        if matches!(result, Err(Broken::Unwritten(_))) {
+            self.note_not_sent(execution_before);
+        } else {
+            let was_closed_early = matches!(result, Err(Broken::Doubtful)) && !heard.begun();
+            self.servers().count_sent();
+            self.servers().connections.reuse.ended(idle_for, was_closed_early);
+        }
+        if self.upload().is_some_and(|upload| upload.broken()) {
+            // The client broke it off: the server has done nothing wrong.
+            return ControlFlow::Break(Outcome::Ignored.into());
+        }
+        let connection = AttemptConnection { connection, generation, is_reused: idle.is_some() };
+        self.conclude(result, connection, execution_before).await
+    }
+
+    /// Whether the request may still be sent: its client has not gone, was not promised that it is never executed, and it is not too
+    /// late for a response.
+    fn is_still_wanted(&self, connect_by: Instant) -> bool {
+        let is_late = self.upload().is_none() && Instant::now() >= connect_by;
+        !self.request.state.is_withdrawn.get() && !is_late
+    }
+
+    /// Raises the request's execution status before anything is written: an attempt that is cancelled on the way has reached its
+    /// server all the same. Returns the status before.
+    fn note_sending(&self) -> ExecutionStatus {
+        let state = &self.request.state;
+        let before = state.execution.get();
+        state.execution.set(before.combine(ExecutionStatus::MayHaveExecuted));
+        state.sent.set(state.sent.get() + 1);
+        if let Some(core) = self.connector.core.upgrade() {
+            core.attempt_goes(self.id, self.number);
+        }
+        before
+    }
+
+    /// Nothing was written.
+    fn note_not_sent(&self, execution_before: ExecutionStatus) {
+        let state = &self.request.state;
+        state.execution.set(execution_before);
+        state.sent.set(state.sent.get() - 1);
+    }
+
+    /// What follows from what came back.
+    async fn conclude(
+        &self,
+        result: Result<ReceivedResponse, Broken>,
+        connection: AttemptConnection,
+        execution_before: ExecutionStatus,
+    ) -> ControlFlow<AttemptEnd, Request<Sent>> {
+        let end = match result {
+            Ok(ReceivedResponse::Complete(response)) => {
+                self.conclude_complete(response, connection, execution_before)
+            }
+            Ok(ReceivedResponse::Streamed(response)) => self.pass_on(response, connection).await.into(),
+            Err(Broken::Unwritten(message)) if connection.is_reused => {
+                return ControlFlow::Continue(*message);
+            }
+            Err(Broken::Unwritten(message)) => {
+                give_back(message.into_body());
+                Outcome::ConnectFailed.into()
+            }
+            // A server may execute a request before it has read all of its body.
+            Err(Broken::Doubtful) => Outcome::Reset.into(),
+            Err(Broken::Spoilt) => {
+                self.servers().distrust(self.server);
+                Outcome::Error.into()
+            }
+        };
+        ControlFlow::Break(end)
+    }
+
+    fn conclude_complete(
+        &self,
+        complete: CompleteResponse,
+        connection: AttemptConnection,
+        execution_before: ExecutionStatus,
+    ) -> AttemptEnd {
+        let CompleteResponse { class, response, keep_alive } = complete;
+        let is_clean = self.leaves_nothing(&connection.connection);
+        let outcome = AttemptOutcome::new(class, self.request.is_idempotent, is_clean);
+        let state = &self.request.state;
+        state.execution.set(execution_before.combine(outcome.execution));
+        match (outcome.connection, keep_alive) {
+            (ConnectionFate::Reused, Some(keep_alive)) => self.keep(connection, keep_alive),
+            (ConnectionFate::Distrusted, _) => self.servers().distrust(self.server),
+            (ConnectionFate::Reused, None) | (ConnectionFate::Closed, _) => {}
+        }
+        match outcome.response {
+            ResponseUse::Client => AttemptEnd { outcome: outcome.outcome, response: Some(response) },
+            ResponseUse::Fallback => {
+                state.fallback.replace(Some(response));
+                outcome.outcome.into()
+            }
+            ResponseUse::Dropped => outcome.outcome.into(),
+        }
+    }
+
+    /// Passes a response on to the client as it comes.
+    async fn pass_on(&self, response: StreamedResponse, connection: AttemptConnection) -> Outcome {
+        let StreamedResponse { head, first, rest, keep_alive } = response;
+        self.request.state.execution.set(ExecutionStatus::Executed);
+        let room = &self.servers().common.room;
+        let (download, ended) = Download::new(first, rest, room.pipe_at_once());
+        let core = self.connector.core.upgrade();
+        if !core.is_some_and(|core| core.answer_begins(self.id, self.number, (head, download))) {
+            return Outcome::Cancelled;
+        }
+        match ended.await {
+            Ok(End::Whole) => {
+                if let Some(keep_alive) = keep_alive.filter(|_| self.leaves_nothing(&connection.connection)) {
+                    self.keep(connection, keep_alive);
+                }
+                Outcome::Ok
+            }
+            Ok(End::Broken) => Outcome::Reset,
+            // The client has gone.
+            Err(_) => Outcome::Ignored,
+        }
+    }
+
+    fn keep(&self, connection: AttemptConnection, keep_alive: Duration) {
+        let AttemptConnection { connection, generation, .. } = connection;
+        self.servers().connections.give_back(self.server, connection, generation, keep_alive);
+    }
+
+    /// Whether nothing of the request can be left on its connection behind the response, which may have come early. A server that
+    /// does not read on would take the rest of a body for the next request.
+    fn leaves_nothing(&self, connection: &Connection) -> bool {
+        self.upload().is_none_or(|upload| upload.whole()) && connection.passage().taken()
+    }
+
+    /// The request for this attempt, or the unsent one for a new connection; `None` if it may not be sent.
+    fn message(&self, unsent: Option<Request<Sent>>, server_id: HeaderValue) -> Option<Request<Sent>> {
+        let body = match unsent {
+            Some(message) => message.into_body(),
+            None if !self.connector.take_retry(self.request) => return None,
+            // `None` here: an earlier attempt has taken a part of the body.
+            None => self.request.body.body(&self.connector.core, self.id, self.number)?,
+        };
+        match self.request.request.attempt(body, server_id, self.time_left_ms()) {
+            Ok(message) => Some(message),
+            Err(RejectedAttempt { violation, body }) => {
+                self.request.state.violation.set(Some(violation));
+                give_back(body);
+                None
+            }
+        }
+    }
+
+    /// The time that is left for the server, in milliseconds. That of a long body counts from its last byte.
+    fn time_left_ms(&self) -> u64 {
+        match self.upload() {
+            None => self.stop.saturating_sub(self.connector.clock.now()) / 1_000,
+            Some(upload) => upload.wait.as_millis() as u64,
+        }
+    }
+
+    /// Writes the request and reads the response, or the beginning of a long one.
+    async fn exchange(
+        &self,
+        connection: &mut Connection,
+        message: Request<Sent>,
+        is_reused: bool,
+    ) -> Result<ReceivedResponse, Broken> {
+        let response = connection.send(message).await?;
+        if !framed(&response) {
+            return Err(Broken::Spoilt);
+        }
+        let (head, body) = response.into_parts();
+        let class = classify(head.status, &head.headers, &self.request.request.received().id);
+        // A response that names no request is this one's only if no other request went before on the connection: otherwise it may
+        // be a surplus response, and this request may be executed.
+        let is_named = names_request(&head.headers);
+        if class == ResponseClass::Untrusted || !is_named && is_reused {
+            return Err(Broken::Spoilt);
+        }
+        // To a server that speaks HTTP/1.0 the client library sends no chunks, and so drops such a body.
+        let keeps_alive = is_named && head.version == Version::HTTP_11;
+        let keep_alive = keeps_alive.then(|| keep_alive_of(&head.headers));
+        let complete = |head, body, keep_alive| {
+            let response = Response::from_parts(head, body);
+            Ok(ReceivedResponse::Complete(CompleteResponse { class, response, keep_alive }))
+        };
+        let needs_no_body = matches!(class, ResponseClass::NotExecuted | ResponseClass::Misdirected);
+        match take(body, BUFFERED_BODY_LENGTH, None, &self.servers().common.room).await {
+            Ok(Taken::Whole(body)) => complete(head, body, keep_alive),
+            Ok(Taken::Part(first, rest)) if class == ResponseClass::Answer => {
+                Ok(ReceivedResponse::Streamed(StreamedResponse { head, first, rest, keep_alive }))
+            }
+            _ if needs_no_body => complete(head, Bytes::new(), None),
+            Ok(Taken::Part(..)) | Err(BadBody::Malformed | BadBody::TooLong) => Err(Broken::Spoilt),
+            Err(BadBody::Broken) => Err(Broken::Doubtful),
+        }
+    }
+}
+
+/// Gives back a body of which nothing was sent.
+fn give_back(body: Sent) {
+    if let Sent::Long(body) = body {
+        body.give_back();
+    }
+}
+
+/// For how long a connection may be idle, by the server's `Keep-Alive` header.
+fn keep_alive_of(headers: &HeaderMap) -> Duration {
+    let value = headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
+    let seconds = value.into_iter().flat_map(|value| value.split(',')).find_map(|parameter| {
+        let (name, value) = parameter.split_once('=')?;
+        name.trim().eq_ignore_ascii_case("timeout").then(|| value.trim().parse::<u32>().ok())?
+    });
+    seconds.map_or(DEFAULT_KEEP_ALIVE, |seconds| Duration::from_secs(seconds.into()).mul_f64(KEEP_ALIVE_USE))
+}
+
+impl Upstream<ProxyTraffic> for UpstreamConnector {
+    fn attempt(
+        &self,
+        id: RequestId,
+        number: usize,
+        server: ServerId,
+        request: Rc<ProxiedRequest>,
+        stop: Micros,
+    ) -> AbortHandle {
+        let (connector, core) = (self.this.clone(), self.core.clone());
+        let task = tokio::task::spawn_local(async move {
+            let Some(connector) = connector.upgrade() else { return };
+            let attempt = Attempt { connector: &connector, id: &id, number, server, request: &request, stop };
+            let AttemptEnd { outcome, response } = attempt.run().await;
+            if let Some(core) = core.upgrade() {
+                core.attempt_over(&id, number, outcome, response);
+            }
+        });
+        task.abort_handle()
+    }
+
+    fn goes_on(&self, request: &ProxiedRequest) -> bool {
+        let (now, sent) = (self.clock.now(), request.state.sent.get());
+        // As in `take_retry`, the first server needs no permission.
+        sent == 0
+            || sent < request.max_attempts
+                && self.servers.retries.borrow().has_retry(now, &self.service, self.servers.proxies())
+    }
+
+    /// The decisions ask for no health checks.
+    fn probe(&self, _: ServerId) {}
+}
--- a/crates/forager/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -20,7 +20,7 @@
     /// Its connection is accepted, and nothing is read.
     Accepted,
     /// Its head is read in part.
-    Head,
+    RequestHead,
     /// Its head is read, and its long body in part.
     Body,
     /// All of it is read.
@@ -31,7 +31,7 @@
     AnswerBody,
 }
 
-use Moment::{Accepted, AnswerBody, AnswerHead, Body, Head, Whole};
+use Moment::{Accepted, AnswerBody, AnswerHead, Body, RequestHead, Whole};
 
 /// What it meets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -139,7 +139,7 @@
         // One that may be repeated meets it at the first server alone; any other, wherever it comes.
         let plays = playing || text.contains("/play ") && (!safe || seen.armed.swap(false, Ordering::SeqCst));
         playing = plays;
-        if plays && moment == Head {
+        if plays && moment == RequestHead {
             return strike(&mut stream, trouble, "", seen);
         }
         let Some(end) = text.find("\r\n\r\n") else { continue };
@@ -365,7 +365,7 @@
 #[gtest]
 fn at_each_moment_a_request_runs_at_most_once_and_each_client_gets_its_own_answer_or_none() {
     let mut cases = Vec::new();
-    for moment in [Accepted, Head, Body, Whole, AnswerHead, AnswerBody] {
+    for moment in [Accepted, RequestHead, Body, Whole, AnswerHead, AnswerBody] {
         for trouble in [Silence, Late, Reset, Close, Half] {
             // Half a refusal after half an answer is half an answer.
             let odd = trouble == Half && matches!(moment, AnswerHead | AnswerBody);
--- a/crates/forager/tests/forwarded.rs
+++ b/crates/proxy/tests/forwarded_request.rs
@@ -8,9 +8,11 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Uri};
-use pinerelay_cells::routes::Tenant;
-use pinerelay_forager::forwarded::{Breach, Forwarded, Frame, Received};
-use pinerelay_forager::request::{Head, CREDENTIAL, DEADLINE, EXPECT_SERVER, REQUEST_ID, TENANT};
+use pinerelay_config_state::resources::Tenant;
+use pinerelay_proxy::forwarded_request::{
+    BodyFraming, ForwardedRequest, ForwardingViolation, ReceivedRequest,
+};
+use pinerelay_proxy::request_head::{RequestHead, CREDENTIAL, DEADLINE, EXPECT_SERVER, REQUEST_ID, TENANT};
 use pinerelay_traffic::http::Sent;
 use pinerelay_traffic::ports::Payload;
 
@@ -28,12 +30,12 @@
     [("host", "a.example"), ("x-request-id", "1"), ("x-deadline-ms", "250"), ("x-credential", "k")];
 
 fn tenant(name: &str, key: &str) -> Arc<Tenant> {
-    Arc::new(Tenant { name: name.into(), keys: vec![key.into()], priority: None, rate: 0.0, burst: 0.0 })
+    Arc::new(Tenant { name: name.into(), api_keys: vec![key.into()], priority: None, rate: 0.0, burst: 0.0 })
 }
 
-fn received(tenant: Option<&Arc<Tenant>>) -> std::result::Result<Received, Breach> {
-    let head = Head::read(&parts(&SENT)).expect("a head");
-    Received::new(Method::POST, &head, tenant, WAIT, Frame::Length(4))
+fn received(tenant: Option<&Arc<Tenant>>) -> std::result::Result<ReceivedRequest, ForwardingViolation> {
+    let head = RequestHead::parse(&parts(&SENT)).expect("a head");
+    ReceivedRequest::new(Method::POST, &head, tenant, WAIT, BodyFraming::Length(4))
 }
 
 fn body() -> Sent {
@@ -42,9 +44,9 @@
 
 fn built(sent: &[(&str, &str)]) -> Request<Sent> {
     let received = received(Some(&tenant("mine", "k"))).expect("received");
-    let forwarded = Forwarded::new(received, parts(sent).headers);
+    let forwarded = ForwardedRequest::new(received, parts(sent).headers);
     let request = forwarded.attempt(body(), HeaderValue::from_static("i-1"), 240);
-    request.map_err(|(breach, _)| breach).expect("no breach")
+    request.map_err(|rejected| rejected.violation).expect("no breach")
 }
 
 #[gtest]
@@ -75,9 +77,13 @@
 #[gtest]
 fn a_tenant_that_cant_be_written_or_does_not_hold_the_key_is_an_error() {
     for name in ["t\n", "t\u{7f}", "", " t", "t\t"] {
-        expect_that!(received(Some(&tenant(name, "k"))).err(), some(eq(Breach::Tenant)), "{name:?}");
+        expect_that!(
+            received(Some(&tenant(name, "k"))).err(),
+            some(eq(ForwardingViolation::Tenant)),
+            "{name:?}"
+        );
     }
-    expect_that!(received(Some(&tenant("mine", "other"))).err(), some(eq(Breach::Tenant)));
+    expect_that!(received(Some(&tenant("mine", "other"))).err(), some(eq(ForwardingViolation::Tenant)));
     // What is no ASCII goes as the bytes of the name.
     let accented = received(Some(&tenant("t\u{e9}", "k"))).expect("received");
     expect_that!(accented.tenant.as_ref().map(HeaderValue::as_bytes), some(eq("t\u{e9}".as_bytes())));
@@ -110,37 +116,40 @@
     };
     expect_that!(check(&|_| ()), ok(eq(())));
     type Change = Box<dyn Fn(&mut Request<Sent>)>;
-    let broken: Vec<(Breach, Change)> = vec![
-        (Breach::RequestId, Box::new(set(REQUEST_ID, "2"))),
-        (Breach::RequestId, Box::new(add(REQUEST_ID, "1"))),
-        (Breach::RequestId, Box::new(drop(REQUEST_ID))),
-        (Breach::Method, Box::new(|request| *request.method_mut() = Method::GET)),
-        (Breach::Target, Box::new(|request| *request.uri_mut() = Uri::from_static("/x/y?z=2"))),
-        (Breach::Target, Box::new(|request| *request.uri_mut() = Uri::from_static("/x/y"))),
+    let broken: Vec<(ForwardingViolation, Change)> = vec![
+        (ForwardingViolation::RequestId, Box::new(set(REQUEST_ID, "2"))),
+        (ForwardingViolation::RequestId, Box::new(add(REQUEST_ID, "1"))),
+        (ForwardingViolation::RequestId, Box::new(drop(REQUEST_ID))),
+        (ForwardingViolation::Method, Box::new(|request| *request.method_mut() = Method::GET)),
+        (ForwardingViolation::Target, Box::new(|request| *request.uri_mut() = Uri::from_static("/x/y?z=2"))),
+        (ForwardingViolation::Target, Box::new(|request| *request.uri_mut() = Uri::from_static("/x/y"))),
         (
-            Breach::Target,
+            ForwardingViolation::Target,
             Box::new(|request| *request.uri_mut() = Uri::from_static("http://a.example/x/y?z=1")),
         ),
-        (Breach::Host, Box::new(set(HOST, "b.example"))),
-        (Breach::Host, Box::new(drop(HOST))),
-        (Breach::BodyFrame, Box::new(set(CONTENT_LENGTH, "5"))),
-        (Breach::BodyFrame, Box::new(add(CONTENT_LENGTH, "4"))),
-        (Breach::BodyFrame, Box::new(drop(CONTENT_LENGTH))),
-        (Breach::BodyFrame, Box::new(set(TRANSFER_ENCODING, "chunked"))),
-        (Breach::BodyFrame, Box::new(|request| *request.body_mut() = Bytes::from_static(b"bod").into())),
-        (Breach::Tenant, Box::new(set(TENANT, "other"))),
-        (Breach::Tenant, Box::new(add(TENANT, "mine"))),
-        (Breach::Tenant, Box::new(drop(TENANT))),
-        (Breach::Credential, Box::new(set(CREDENTIAL, "k"))),
-        (Breach::Deadline, Box::new(set(DEADLINE, "251"))),
-        (Breach::Deadline, Box::new(drop(DEADLINE))),
-        (Breach::ExpectServer, Box::new(drop(EXPECT_SERVER))),
+        (ForwardingViolation::Host, Box::new(set(HOST, "b.example"))),
+        (ForwardingViolation::Host, Box::new(drop(HOST))),
+        (ForwardingViolation::BodyFraming, Box::new(set(CONTENT_LENGTH, "5"))),
+        (ForwardingViolation::BodyFraming, Box::new(add(CONTENT_LENGTH, "4"))),
+        (ForwardingViolation::BodyFraming, Box::new(drop(CONTENT_LENGTH))),
+        (ForwardingViolation::BodyFraming, Box::new(set(TRANSFER_ENCODING, "chunked"))),
+        (
+            ForwardingViolation::BodyFraming,
+            Box::new(|request| *request.body_mut() = Bytes::from_static(b"bod").into()),
+        ),
+        (ForwardingViolation::Tenant, Box::new(set(TENANT, "other"))),
+        (ForwardingViolation::Tenant, Box::new(add(TENANT, "mine"))),
+        (ForwardingViolation::Tenant, Box::new(drop(TENANT))),
+        (ForwardingViolation::Credential, Box::new(set(CREDENTIAL, "k"))),
+        (ForwardingViolation::Deadline, Box::new(set(DEADLINE, "251"))),
+        (ForwardingViolation::Deadline, Box::new(drop(DEADLINE))),
+        (ForwardingViolation::ExpectServer, Box::new(drop(EXPECT_SERVER))),
     ];
     for (breach, change) in broken {
         expect_that!(check(&*change), err(eq(breach)));
     }
-    let open = Received { tenant: None, ..received.clone() };
-    expect_that!(open.check(&built(&SENT)), err(eq(Breach::Tenant)));
+    let open = ReceivedRequest { tenant: None, ..received.clone() };
+    expect_that!(open.check(&built(&SENT)), err(eq(ForwardingViolation::Tenant)));
 }
 
 #[gtest]
@@ -149,9 +158,9 @@
     let with = |name: HeaderName, value: &'static str| {
         HeaderMap::from_iter([(name, HeaderValue::from_static(value))])
     };
-    expect_that!(Frame::of(&empty, &HeaderMap::new()), eq(Frame::Absent));
-    expect_that!(Frame::of(&empty, &with(CONTENT_LENGTH, "0")), eq(Frame::Length(0)));
-    expect_that!(Frame::of(&empty, &with(TRANSFER_ENCODING, "chunked")), eq(Frame::Length(0)));
+    expect_that!(BodyFraming::of(&empty, &HeaderMap::new()), eq(BodyFraming::Absent));
+    expect_that!(BodyFraming::of(&empty, &with(CONTENT_LENGTH, "0")), eq(BodyFraming::Length(0)));
+    expect_that!(BodyFraming::of(&empty, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(0)));
     let whole = Payload::Whole(Bytes::from_static(b"body"));
-    expect_that!(Frame::of(&whole, &with(TRANSFER_ENCODING, "chunked")), eq(Frame::Length(4)));
+    expect_that!(BodyFraming::of(&whole, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(4)));
 }
--- a/crates/forager/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -66,7 +66,7 @@
 #[gtest]
 fn a_connection_on_which_a_body_was_turned_away_on_its_head_carries_no_other_request() {
     let server = Recorder::new(|head| match head.starts_with("POST") {
-        true => (When::Head, refusal(head)),
+        true => (When::RequestHead, refusal(head)),
         false => (When::Whole, own(head)),
     });
     let stage = with(&server);
@@ -110,7 +110,7 @@
 #[gtest]
 fn a_success_that_comes_before_its_body_can_have_come_ends_its_connection() {
     let server = Recorder::new(|head| match head.starts_with("POST") {
-        true => (When::Head, own(head)),
+        true => (When::RequestHead, own(head)),
         false => (When::Whole, own(head)),
     });
     let stage = with(&server);
--- a/crates/forager/tests/in_force.rs
+++ b/crates/proxy/tests/in_force.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use pinerelay_cells::call;
-use pinerelay_cells::item::Item;
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::Cells;
-use pinerelay_forager::hearing::{Hearing, Output};
-use pinerelay_propolis::speech::{compare, mend, Hello, Role, Speech, Standing, CURRENT};
+use pinerelay_config_state::item::Item;
+use pinerelay_config_state::operator_call;
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::ItemSet;
+use pinerelay_peer_link::message::{Hello, PeerMessage, RegistryStatus, Role, LEASE_DURATION};
+use pinerelay_proxy::subscriber::{Output, Subscriber};
 use proptest::prelude::*;
 
 const CONFIG: u8 = 0;
@@ -20,19 +20,19 @@
 const KEYS_OF_A_TENANT: usize = 60;
 
 fn hello(role: Role) -> Hello {
-    Hello { node: "n".into(), ip: "10.0.0.1".into(), role, life: 1 }
+    Hello { node: "n".into(), ip: "10.0.0.1".into(), role, process_id: 1 }
 }
 
-fn standing() -> Speech {
-    Speech::Standing(Standing {
-        scouts: vec!["10.0.0.1".into()],
+fn standing() -> PeerMessage {
+    PeerMessage::RegistryStatus(RegistryStatus {
+        registries: vec!["10.0.0.1".into()],
         voters: vec!["10.0.0.1".into()],
         epoch: 1,
-        settled: true,
-        foragers: 1,
-        majority: true,
-        whole: true,
-        current: true,
+        epoch_settled: true,
+        proxies: 1,
+        has_majority: true,
+        is_complete: true,
+        is_current: true,
     })
 }
 
@@ -55,7 +55,7 @@
             "tenants":{{"column_names":["name","api_keys","revision"],"records":[{}]}}}}}}"#,
         tenants.join(",")
     );
-    call::read(text.as_bytes()).expect("a configuration")
+    operator_call::parse_update(text.as_bytes()).expect("a configuration")
 }
 
 /// The key passes from one tenant to another.
@@ -65,53 +65,53 @@
         tenant(from, false, revision),
         tenant(to, true, revision)
     );
-    call::read(text.as_bytes()).expect("a change")
+    operator_call::parse_update(text.as_bytes()).expect("a change")
 }
 
 /// A registry that has the configuration whole, a proxy, and what is under way between them.
 struct Play {
-    registry: Cells,
-    hearing: Hearing,
-    to_proxy: Vec<Speech>,
-    to_registry: Vec<Speech>,
+    registry: ItemSet,
+    subscriber: Subscriber,
+    to_proxy: Vec<PeerMessage>,
+    to_registry: Vec<PeerMessage>,
     /// What the proxy put in force, one after the other.
-    in_force: Vec<Arc<Table>>,
+    in_force: Vec<Arc<RoutingTable>>,
     now: u64,
 }
 
 impl Play {
     fn new() -> Play {
-        let mut registry = Cells::default();
+        let mut registry = ItemSet::default();
         registry.merge_all(first_call());
         let mut play = Play {
             registry,
-            hearing: Hearing::new(0, hello(Role::Forager), vec!["10.0.0.1".into()]),
+            subscriber: Subscriber::new(0, hello(Role::Proxy), vec!["10.0.0.1".into()]),
             to_proxy: Vec::new(),
             to_registry: Vec::new(),
             in_force: Vec::new(),
             now: 1,
         };
-        play.say(Speech::Hello(hello(Role::Scout)));
+        play.say(PeerMessage::Hello(hello(Role::Registry)));
         play
     }
 
-    fn say(&mut self, speech: Speech) {
+    fn say(&mut self, message: PeerMessage) {
         let mut out = Vec::new();
-        self.hearing.said(self.now, REGISTRY, speech, &mut out);
+        self.subscriber.receive(self.now, REGISTRY, message, &mut out);
         self.took(out);
     }
 
     fn tick(&mut self, by: u64) {
         self.now += by;
         let mut out = Vec::new();
-        self.hearing.tick(self.now, &mut out);
+        self.subscriber.tick(self.now, &mut out);
         self.took(out);
     }
 
     fn took(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Say(_, speech) => self.to_registry.push(speech),
+                Output::Send(_, message) => self.to_registry.push(message),
                 Output::Configured(table) => self.in_force.push(table),
                 _ => {}
             }
@@ -120,23 +120,28 @@
 
     fn pulse(&mut self) {
         self.to_proxy.push(standing());
-        self.to_proxy.push(Speech::Digest([self.registry.digest(), 0]));
+        self.to_proxy.push(PeerMessage::Digests([self.registry.digest(), 0]));
     }
 
     /// The registry answers all that it was sent.
     fn answer(&mut self) {
-        for speech in std::mem::take(&mut self.to_registry) {
-            match speech {
-                Speech::Mend { realm: CONFIG, items, parts } => {
+        for message in std::mem::take(&mut self.to_registry) {
+            match message {
+                PeerMessage::Sync { realm: CONFIG, items, parts } => {
                     self.registry.merge_all(items);
-                    self.to_proxy.extend(mend(&self.registry, CONFIG, &parts));
+                    self.to_proxy.extend(PeerMessage::sync_reply(&self.registry, CONFIG, &parts));
                 }
-                Speech::Digest([digest, _]) if digest != self.registry.digest() => {
-                    self.to_proxy.push(compare(&self.registry, CONFIG));
+                PeerMessage::Digests([digest, _]) if digest != self.registry.digest() => {
+                    self.to_proxy.push(PeerMessage::sync_request(&self.registry, CONFIG));
                 }
-                Speech::Confirm(asked) => {
+                PeerMessage::ConfirmCurrent(asked) => {
                     let digest = self.registry.digest();
-                    self.to_proxy.push(Speech::Confirmed { asked, epoch: 1, digest, left: CURRENT });
+                    self.to_proxy.push(PeerMessage::Current {
+                        asked_at: asked,
+                        epoch: 1,
+                        digest,
+                        lease_left: LEASE_DURATION,
+                    });
                 }
                 _ => {}
             }
@@ -148,8 +153,8 @@
         if self.to_proxy.is_empty() {
             return false;
         }
-        let speech = self.to_proxy.remove(0);
-        self.say(speech);
+        let message = self.to_proxy.remove(0);
+        self.say(message);
         true
     }
 
@@ -166,10 +171,10 @@
 }
 
 /// Whose the key is that is passed on: it is always exactly one tenant's, and no tenant is missing.
-fn check(table: &Table) {
+fn check(table: &RoutingTable) {
     assert_that!(table.tenants().len(), eq(TENANTS));
-    assert_that!(table.route("a.example", "/x").is_some(), eq(true));
-    assert_that!(table.tenant("passed-on").is_some(), eq(true), "the key is nobody's");
+    assert_that!(table.find_route("a.example", "/x").is_some(), eq(true));
+    assert_that!(table.tenant_by_key("passed-on").is_some(), eq(true), "the key is nobody's");
 }
 
 #[gtest]
@@ -195,9 +200,9 @@
     while play.deliver() {
         play.answer();
     }
-    expect_that!(play.hearing.whole(), eq(true));
+    expect_that!(play.subscriber.can_serve(), eq(true));
     play.registry = first;
-    play.to_proxy.push(Speech::Digest([play.registry.digest(), 0]));
+    play.to_proxy.push(PeerMessage::Digests([play.registry.digest(), 0]));
     while play.deliver() {
         play.tick(700 * MILLISECOND);
         play.answer();
@@ -213,7 +218,7 @@
     let mut play = Play::new();
     let route = first_call().into_iter().filter(|item| item.key.name == "r").collect();
     play.say(standing());
-    play.say(Speech::News(route));
+    play.say(PeerMessage::Update(route));
     play.tick(100 * MILLISECOND);
     expect_that!(play.in_force, is_empty());
 }
@@ -239,7 +244,7 @@
     expect_that!(play.in_force.len(), ge(1));
     play.in_force.iter().for_each(|table| check(table));
     let last = play.in_force.last().expect("a table");
-    expect_that!(**last, eq(&Table::of(&play.registry)));
+    expect_that!(**last, eq(&RoutingTable::from_items(&play.registry)));
 }
 
 /// What happens next.
@@ -284,7 +289,7 @@
                     holder = to;
                     play.registry.merge_all(call.clone());
                     if matches!(step, Step::News(_)) {
-                        play.to_proxy.push(Speech::News(call));
+                        play.to_proxy.push(PeerMessage::Update(call));
                     }
                 }
                 Step::News(_) | Step::Silent(_) => {}
@@ -292,23 +297,23 @@
                 Step::Deliver => { play.deliver(); play.answer(); }
                 // A connection that breaks loses all that is under way on it.
                 Step::Lose => {
-                    play.hearing.down(REGISTRY);
+                    play.subscriber.disconnected(REGISTRY);
                     play.to_proxy.clear();
                     play.to_registry.clear();
-                    play.say(Speech::Hello(hello(Role::Scout)));
+                    play.say(PeerMessage::Hello(hello(Role::Registry)));
                 }
                 Step::Tick(ms) => play.tick(ms * MILLISECOND),
                 Step::Restart => {
-                    play.hearing = Hearing::new(play.now, hello(Role::Forager), vec!["10.0.0.1".into()]);
+                    play.subscriber = Subscriber::new(play.now, hello(Role::Proxy), vec!["10.0.0.1".into()]);
                     play.to_proxy.clear();
                     play.to_registry.clear();
-                    play.say(Speech::Hello(hello(Role::Scout)));
+                    play.say(PeerMessage::Hello(hello(Role::Registry)));
                 }
             }
         }
         play.settle();
         play.in_force.iter().for_each(|table| check(table));
         let last = play.in_force.last().expect("a table");
-        prop_assert_eq!(&**last, &Table::of(&play.registry));
+        prop_assert_eq!(&**last, &RoutingTable::from_items(&play.registry));
     }
 }
--- a/crates/forager/tests/recorder/mod.rs
+++ b/crates/proxy/tests/recorder/mod.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum When {
     /// As soon as it has the head, and then reads on.
-    Head,
+    RequestHead,
     /// Once it has all.
     Whole,
     /// Once it has all, and has worked for so long.
@@ -120,7 +120,7 @@
             let (when, answer) = script(&head);
             let end = end_of(at + 4, &head, &open);
             let due = match when {
-                When::Head => true,
+                When::RequestHead => true,
                 When::Whole | When::Worked(_) => end.is_some(),
                 When::Never => false,
             };
--- a/crates/forager/tests/stage/mod.rs
+++ b/crates/proxy/tests/stage/mod.rs
@@ -12,9 +12,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{call, Item};
-use pinerelay_propolis::speech::{self, Hello, Incoming, Role, Speech, Standing, GREETING};
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::{operator_call, Item};
+use pinerelay_peer_link::codec::{self, Decoder, GREETING};
+use pinerelay_peer_link::message::{Hello, PeerMessage, RegistryStatus, Role, LEASE_DURATION};
 
 /// What a server does with each request.
 #[derive(Clone)]
@@ -110,7 +111,7 @@
                 thread::spawn(move || tell(stream, &items));
             }
         });
-        let folder = std::env::temp_dir().join(format!("forager-{}-{first}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("proxy-{}-{first}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("settings.toml");
         let settings = format!(
@@ -123,7 +124,7 @@
             at(4)
         );
         std::fs::write(&file, settings).expect("a settings file");
-        let proxy = Command::new(env!("CARGO_BIN_EXE_forager"))
+        let proxy = Command::new(env!("CARGO_BIN_EXE_proxy"))
             .args(["--log=error", "--settings"])
             .arg(&file)
             .spawn()
@@ -254,16 +255,16 @@
         zone: "z".into(),
         revision: "v1".into(),
         capacity: 4,
-        state: State::Ready,
+        state: ServerState::Ready,
         warmup_ms: 0,
     }
 }
 
 fn items(servers: &[SocketAddr]) -> Vec<Item> {
-    let mut items = call::read(CONFIG.as_bytes()).expect("a configuration");
+    let mut items = operator_call::parse_update(CONFIG.as_bytes()).expect("a configuration");
     for (n, address) in servers.iter().enumerate() {
         let SocketAddr::V4(address) = *address else { continue };
-        items.push(server(address).item(&format!("i-{n}"), 1));
+        items.push(server(address).to_item(&format!("i-{n}"), 1));
     }
     items
 }
@@ -271,42 +272,43 @@
 /// Plays a registry on one connection.
 fn tell(mut stream: TcpStream, items: &[Item]) {
     let ip = std::net::Ipv4Addr::from(machine()).to_string();
-    let hello = Hello { node: "core-1".into(), ip: ip.clone(), role: Role::Scout, life: 1 };
-    let standing = Standing {
-        scouts: vec![ip.clone()],
+    let hello = Hello { node: "core-1".into(), ip: ip.clone(), role: Role::Registry, process_id: 1 };
+    let standing = RegistryStatus {
+        registries: vec![ip.clone()],
         voters: vec![ip],
         epoch: 1,
-        settled: true,
-        foragers: 1,
-        majority: true,
-        whole: true,
-        current: true,
+        epoch_settled: true,
+        proxies: 1,
+        has_majority: true,
+        is_complete: true,
+        is_current: true,
     };
-    let mut cells = pinerelay_cells::Cells::default();
+    let mut cells = pinerelay_config_state::ItemSet::default();
     cells.merge_all(items.iter().filter(|item| item.key.kind.is_config()).cloned());
     let mut out = GREETING.to_vec();
-    for speech in [
-        Speech::Hello(hello),
-        Speech::News(items.to_vec()),
-        Speech::Standing(standing),
-        Speech::Digest([cells.digest(), 0]),
+    for message in [
+        PeerMessage::Hello(hello),
+        PeerMessage::Update(items.to_vec()),
+        PeerMessage::RegistryStatus(standing),
+        PeerMessage::Digests([cells.digest(), 0]),
     ] {
-        out.extend_from_slice(&speech::write(&speech));
+        out.extend_from_slice(&codec::encode(&message));
     }
     if stream.write_all(&out).is_err() {
         return;
     }
     // Says something now and then, for as long as the proxy does.
-    let mut come = Incoming::default();
+    let mut come = Decoder::default();
     let mut buffer = [0_u8; 4096];
     while let Ok(n @ 1..) = stream.read(&mut buffer) {
-        come.room().extend_from_slice(&buffer[..n]);
-        let mut out = speech::write(&Speech::Here).to_vec();
-        while let Ok(Some(heard)) = come.take() {
-            if let Speech::Confirm(asked) = heard {
+        come.read_buffer().extend_from_slice(&buffer[..n]);
+        let mut out = codec::encode(&PeerMessage::KeepAlive).to_vec();
+        while let Ok(Some(heard)) = come.next_message() {
+            if let PeerMessage::ConfirmCurrent(asked) = heard {
                 let digest = cells.digest();
-                let confirmed = Speech::Confirmed { asked, epoch: 1, digest, left: speech::CURRENT };
-                out.extend_from_slice(&speech::write(&confirmed));
+                let confirmed =
+                    PeerMessage::Current { asked_at: asked, epoch: 1, digest, lease_left: LEASE_DURATION };
+                out.extend_from_slice(&codec::encode(&confirmed));
             }
         }
         if stream.write_all(&out).is_err() {
--- /dev/null
+++ b/crates/registry/src/control_call.rs
@@ -0,0 +1,117 @@
+//! The calls of servers and operators: one dispatch on method, path and query.
+
+use pinerelay_config_state::server::Heartbeat;
+use pinerelay_config_state::ValidationError;
+use thiserror::Error;
+
+#[cfg(test)]
+mod tests;
+
+/// The path of all calls.
+pub const PATH: &str = "/-/rpc";
+/// No server's id is longer, in bytes.
+const MAX_ID_LENGTH: usize = 256;
+
+/// A call.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ControlCall {
+    /// A server sends a heartbeat.
+    Heartbeat {
+        /// The server.
+        id: String,
+        /// Its report.
+        heartbeat: Heartbeat,
+    },
+    /// A server deregisters.
+    Leave {
+        /// The server.
+        id: String,
+    },
+    /// The operator changes the configuration; the body of the call.
+    Update(Vec<u8>),
+    /// The operator reads the configuration.
+    Read,
+}
+
+/// Why a call is rejected.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum CallError {
+    /// Nothing is served at this path.
+    #[error("{PATH} is served here")]
+    UnknownPath,
+    /// The method is not POST.
+    #[error("POST alone is served here")]
+    UnknownMethod,
+    /// No call is named.
+    #[error("call: servers.heartbeat, servers.leave, config.update or config.read")]
+    NoCall,
+    /// There is no such call.
+    #[error("call: there is no {0:?}")]
+    UnknownCall(String),
+    /// The server's id is missing or too long, or cannot be decoded.
+    #[error("of: the server's id is wanted")]
+    InvalidId,
+    /// The body is invalid.
+    #[error(transparent)]
+    InvalidBody(#[from] ValidationError),
+}
+
+impl CallError {
+    /// The HTTP status of the answer.
+    pub fn status(&self) -> u16 {
+        match self {
+            CallError::UnknownPath | CallError::NoCall | CallError::UnknownCall(_) => 404,
+            CallError::UnknownMethod => 405,
+            CallError::InvalidId | CallError::InvalidBody(_) => 400,
+        }
+    }
+}
+
+/// Parses a call.
+///
+/// # Errors
+/// If the request is no call, or its body is invalid.
+pub fn parse(method: &str, path: &str, query: Option<&str>, body: &[u8]) -> Result<ControlCall, CallError> {
+    if path != PATH {
+        return Err(CallError::UnknownPath);
+    }
+    if method != "POST" {
+        return Err(CallError::UnknownMethod);
+    }
+    match query_value(query, "call") {
+        Some("servers.heartbeat") => {
+            Ok(ControlCall::Heartbeat { id: server_id(query)?, heartbeat: Heartbeat::parse(body)? })
+        }
+        Some("servers.leave") => Ok(ControlCall::Leave { id: server_id(query)? }),
+        Some("config.update") => Ok(ControlCall::Update(body.to_vec())),
+        Some("config.read") => Ok(ControlCall::Read),
+        Some(other) => Err(CallError::UnknownCall(other.into())),
+        None => Err(CallError::NoCall),
+    }
+}
+
+fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
+    let mut pairs = query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(other, _)| *other == name).map(|(_, value)| value)
+}
+
+fn server_id(query: Option<&str>) -> Result<String, CallError> {
+    let id = query_value(query, "of").and_then(percent_decode);
+    id.filter(|id| !id.is_empty() && id.len() <= MAX_ID_LENGTH).ok_or(CallError::InvalidId)
+}
+
+/// Decodes percent-encoding (RFC 3986, section 2.1); `None` if that is malformed or the result is no UTF-8.
+fn percent_decode(text: &str) -> Option<String> {
+    let mut bytes = text.bytes();
+    let mut decoded = Vec::with_capacity(text.len());
+    while let Some(byte) = bytes.next() {
+        if byte != b'%' {
+            decoded.push(byte);
+            continue;
+        }
+        let mut digit = || bytes.next().and_then(|byte| char::from(byte).to_digit(16));
+        let (high, low) = (digit()?, digit()?);
+        decoded.push((high * 16 + low) as u8);
+    }
+    String::from_utf8(decoded).ok()
+}
--- /dev/null
+++ b/crates/registry/src/registry/endpoints.rs
@@ -0,0 +1,319 @@
+//! Registration of servers: their heartbeats, who else has to know, and which servers have failed.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use pinerelay_admission::Micros;
+use pinerelay_config_state::server::{Heartbeat, Server, ServerState};
+use pinerelay_config_state::{Item, Key, Kind};
+use pinerelay_peer_link::link::ConnectionId;
+use pinerelay_peer_link::message::{CallReply, PeerMessage, Role, SeenHeartbeat};
+
+use super::{Output, Registry, STATUS_INTERVAL};
+
+/// A server is lost after so many heartbeat intervals of silence.
+const LOST_AFTER_INTERVALS: f64 = 3.2;
+/// A server that has been lost for so long counts as deregistered.
+const LOST_LIMIT: Micros = 120_000_000;
+/// Another registry has so long to hold a deregistration: the server waits for a second.
+const REPLICATION_TIMEOUT: Micros = 700_000;
+
+/// When a server was last heard.
+#[derive(Debug, Clone, Copy)]
+struct LastHeartbeat {
+    /// By any registry.
+    anywhere: Micros,
+    /// By this one.
+    here: Option<Micros>,
+}
+
+/// A deregistration that is not acknowledged before another registry holds it.
+#[derive(Debug)]
+struct PendingDeregistration {
+    call: u64,
+    id: String,
+    since: Micros,
+    /// The connections on which others were asked: only what arrives on these tells that it is held.
+    asked: BTreeSet<ConnectionId>,
+}
+
+/// What is known of the servers, besides their items.
+#[derive(Debug)]
+pub(super) struct Endpoints {
+    last_heartbeats: BTreeMap<String, LastHeartbeat>,
+    /// Servers that are lost, and since when.
+    lost: BTreeMap<String, Micros>,
+    ids_by_key_hash: BTreeMap<u64, String>,
+    /// By the number under which others were asked.
+    pending: BTreeMap<u64, PendingDeregistration>,
+    /// Servers whose deregistration another registry holds as well.
+    replicated: BTreeSet<String>,
+    /// No server is lost before. Since a majority has been reached this registry may not have been told of all heartbeats.
+    losses_from: Micros,
+}
+
+impl Endpoints {
+    /// No server is known.
+    pub(super) fn new(now: Micros) -> Endpoints {
+        Endpoints {
+            last_heartbeats: BTreeMap::new(),
+            lost: BTreeMap::new(),
+            ids_by_key_hash: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            replicated: BTreeSet::new(),
+            losses_from: now,
+        }
+    }
+
+    /// The number of deregistrations that are not acknowledged yet.
+    pub(super) fn pending_deregistrations(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// Keeps the replicated deregistrations of servers that are known.
+    pub(super) fn retain_replicated(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.replicated.retain(|id| is_known(id));
+    }
+}
+
+fn server_key(id: &str) -> Key {
+    Key::new(Kind::Server, id)
+}
+
+impl Registry {
+    /// A server has sent a heartbeat.
+    pub(super) fn on_heartbeat(
+        &mut self,
+        now: Micros,
+        call: u64,
+        id: &str,
+        heartbeat: Heartbeat,
+        out: &mut Vec<Output>,
+    ) {
+        self.counters.heartbeats += 1;
+        let key = server_key(id);
+        let old = self.runtime_items().get(&key);
+        if old.is_some_and(|old| old.version.revision > heartbeat.call_count) {
+            // It is late and changes nothing, or the server has deregistered.
+            return self.acknowledge(now, call, out);
+        }
+        let known = old.and_then(|old| old.value.as_deref()).and_then(Server::decode);
+        if known.is_none_or(|known| !heartbeat.server.adds_nothing_to(&known)) {
+            let item = heartbeat.server.to_item(id, heartbeat.call_count);
+            self.runtime_items_mut().merge(item.clone());
+            self.note_server_item(&item);
+            self.send_update(item, out);
+        }
+        let last = LastHeartbeat { anywhere: now, here: Some(now) };
+        self.endpoints.last_heartbeats.insert(id.into(), last);
+        let is_draining = heartbeat.server.state == ServerState::Draining;
+        if is_draining && !self.endpoints.replicated.contains(id) {
+            return self.replicate(now, call, &key, out);
+        }
+        self.acknowledge(now, call, out);
+    }
+
+    /// Acknowledges a call of a server. Heartbeats that a registry hears while it is cut off are unknown to the others, which
+    /// would take the server for lost; so it is sent on to another node. What was heard stands, for the proxies on this side and
+    /// for later.
+    fn acknowledge(&mut self, now: Micros, call: u64, out: &mut Vec<Output>) {
+        let reply = if self.is_in_contact(now) {
+            CallReply::ok()
+        } else {
+            self.counters.heartbeats_rejected += 1;
+            CallReply::error(503, "no majority of the core is reached")
+        };
+        out.push(Output::Answer(call, reply));
+    }
+
+    /// A server has deregistered.
+    pub(super) fn on_leave(&mut self, now: Micros, call: u64, id: &str, out: &mut Vec<Output>) {
+        let key = server_key(id);
+        let is_known = self.runtime_items().get(&key).is_some_and(|item| item.value.is_none());
+        let tombstone = Server::tombstone(id, self.time_of_day(now));
+        if !is_known && self.runtime_items_mut().merge(tombstone.clone()) {
+            self.endpoints.replicated.remove(id);
+            self.note_server_item(&tombstone);
+            self.send_update(tombstone, out);
+        }
+        if self.endpoints.replicated.contains(id) {
+            return self.acknowledge(now, call, out);
+        }
+        self.replicate(now, call, &key, out);
+    }
+
+    /// Sends an item to the proxies, the other registries and the machine's store.
+    fn send_update(&self, item: Item, out: &mut Vec<Output>) {
+        let mut receivers = self.connections_of(Role::Proxy);
+        receivers.extend(self.registry_connections().into_values());
+        receivers.extend(self.own_store());
+        out.push(Output::Broadcast(receivers, PeerMessage::Update(vec![item])));
+    }
+
+    /// Asks the other registries to hold a deregistration. One that is known here alone would get lost with this machine, and
+    /// proxies would send on to a server that was told it may go. So it is acknowledged once another registry holds it that
+    /// reaches a majority of the core.
+    fn replicate(&mut self, now: Micros, call: u64, key: &Key, out: &mut Vec<Output>) {
+        if self.voters.len() <= 1 {
+            self.endpoints.replicated.insert(key.name.clone());
+            return out.push(Output::Answer(call, CallReply::ok()));
+        }
+        let asked: BTreeSet<ConnectionId> = self.registry_connections().into_values().collect();
+        let item = self.runtime_items().get(key).cloned().filter(|_| !asked.is_empty());
+        let Some(item) = item else { return self.reject_deregistration(call, out) };
+        let number = self.next_number();
+        let receivers = asked.iter().copied().collect();
+        let pending = PendingDeregistration { call, id: key.name.clone(), since: now, asked };
+        self.endpoints.pending.insert(number, pending);
+        let message = PeerMessage::Replicate { number, items: vec![item] };
+        out.push(Output::Broadcast(receivers, message));
+    }
+
+    fn reject_deregistration(&mut self, call: u64, out: &mut Vec<Output>) {
+        self.counters.deregistrations_rejected += 1;
+        out.push(Output::Answer(call, CallReply::error(503, "no other registry holds it")));
+    }
+
+    /// A registry holds what it was asked to.
+    pub(super) fn on_replicated(&mut self, connection: ConnectionId, number: u64, out: &mut Vec<Output>) {
+        let pending = self.endpoints.pending.get(&number);
+        if pending.is_some_and(|pending| pending.asked.contains(&connection)) {
+            if let Some(pending) = self.endpoints.pending.remove(&number) {
+                self.endpoints.replicated.insert(pending.id);
+                out.push(Output::Answer(pending.call, CallReply::ok()));
+            }
+        }
+    }
+
+    /// A connection to a registry has gone, and nothing arrives on it any more. If there is another one, it is asked there again.
+    pub(super) fn replicate_again(&mut self, connection: ConnectionId, ip: &str, out: &mut Vec<Output>) {
+        let other = self.registry_connections().get(ip).copied();
+        let mut failed = Vec::new();
+        let pending = self.endpoints.pending.iter_mut();
+        for (&number, pending) in pending.filter(|(_, pending)| pending.asked.contains(&connection)) {
+            pending.asked.remove(&connection);
+            let item = self.realms[1].get(&server_key(&pending.id));
+            if let (Some(other), Some(item)) = (other, item) {
+                pending.asked.insert(other);
+                let message = PeerMessage::Replicate { number, items: vec![item.clone()] };
+                out.push(Output::Send(other, message));
+            } else if pending.asked.is_empty() {
+                failed.push(number);
+            }
+        }
+        self.reject_pending(failed, out);
+    }
+
+    /// Gives up on deregistrations that no other registry has held in time.
+    pub(super) fn expire_deregistrations(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let pending = self.endpoints.pending.iter();
+        let late = pending.filter(|(_, pending)| now >= pending.since + REPLICATION_TIMEOUT);
+        let late: Vec<u64> = late.map(|(&number, _)| number).collect();
+        self.reject_pending(late, out);
+    }
+
+    fn reject_pending(&mut self, numbers: Vec<u64>, out: &mut Vec<Output>) {
+        for number in numbers {
+            if let Some(pending) = self.endpoints.pending.remove(&number) {
+                self.reject_deregistration(pending.call, out);
+            }
+        }
+    }
+
+    /// Notes a new item if it is a server's.
+    pub(super) fn note_server_item(&mut self, item: &Item) {
+        if item.key.kind != Kind::Server {
+            return;
+        }
+        let (id, now) = (&item.key.name, self.last_tick);
+        self.endpoints.ids_by_key_hash.insert(item.key.key_hash(), id.clone());
+        let state = item.value.as_deref().and_then(Server::decode).map(|server| server.state);
+        if state == Some(ServerState::Lost) {
+            self.endpoints.lost.entry(id.clone()).or_insert(now);
+        } else {
+            self.endpoints.lost.remove(id);
+        }
+        if state.is_none_or(|state| state == ServerState::Lost) {
+            self.endpoints.last_heartbeats.remove(id);
+        } else {
+            let new = LastHeartbeat { anywhere: now, here: None };
+            let last = self.endpoints.last_heartbeats.entry(id.clone()).or_insert(new);
+            last.anywhere = last.anywhere.max(now);
+        }
+    }
+
+    /// Another registry has heard servers.
+    pub(super) fn on_heartbeats_seen(&mut self, now: Micros, heartbeats: &[SeenHeartbeat]) {
+        for seen in heartbeats {
+            let Some(id) = self.endpoints.ids_by_key_hash.get(&seen.key_hash) else { continue };
+            if let Some(last) = self.endpoints.last_heartbeats.get_mut(id) {
+                last.anywhere = last.anywhere.max(now.saturating_sub(u64::from(seen.age_ms) * 1_000));
+            }
+        }
+    }
+
+    /// The servers that have been heard here lately, for the other registries.
+    pub(super) fn heartbeats_seen_here(&self, now: Micros) -> Vec<SeenHeartbeat> {
+        let seen = self.endpoints.last_heartbeats.iter().filter_map(|(id, last)| {
+            let age = now.saturating_sub(last.here?);
+            let key_hash = server_key(id).key_hash();
+            (age < 2 * STATUS_INTERVAL).then_some(SeenHeartbeat { key_hash, age_ms: (age / 1_000) as u32 })
+        });
+        seen.collect()
+    }
+
+    /// For how long a server is silent until it is lost.
+    fn server_timeout(&self) -> Micros {
+        (LOST_AFTER_INTERVALS * self.config.heartbeat_interval as f64) as Micros
+    }
+
+    /// A majority is reached again, after so long. Servers whose heartbeats nobody has acknowledged may call more and more seldom.
+    pub(super) fn postpone_losses(&mut self, now: Micros, after: Micros) {
+        let timeout = self.server_timeout();
+        self.endpoints.losses_from = now + timeout + after.min(2 * timeout);
+    }
+
+    /// Deregisters servers that have been lost for long.
+    pub(super) fn remove_lost_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let time_of_day = self.time_of_day(now);
+        let lost = self.endpoints.lost.iter().filter(|(_, since)| now >= **since + LOST_LIMIT);
+        let ids: Vec<String> = lost.map(|(id, _)| id.clone()).collect();
+        for id in ids {
+            let tombstone = Server::tombstone(&id, time_of_day);
+            if self.runtime_items_mut().merge(tombstone.clone()) {
+                self.note_server_item(&tombstone);
+                self.send_update(tombstone, out);
+            }
+        }
+    }
+
+    /// Marks servers as lost that nobody has heard, as long as this registry would have been told.
+    pub(super) fn detect_lost_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if !self.majority.is_reached() || now < self.endpoints.losses_from {
+            return;
+        }
+        let timeout = self.server_timeout();
+        let last_heartbeats = self.endpoints.last_heartbeats.iter();
+        let silent = last_heartbeats.filter(|(_, last)| now >= last.anywhere + timeout);
+        let ids: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
+        for id in ids {
+            self.endpoints.last_heartbeats.remove(&id);
+            if let Some(lost) = self.lost_item(&id) {
+                if self.runtime_items_mut().merge(lost.clone()) {
+                    self.counters.servers_lost += 1;
+                    self.note_server_item(&lost);
+                    log::info!("server {id} is lost: silent for {} ms", timeout / 1_000);
+                    self.send_update(lost, out);
+                }
+            }
+        }
+    }
+
+    /// The item that marks a server as lost; `None` if it is unknown or lost already.
+    fn lost_item(&self, id: &str) -> Option<Item> {
+        let item = self.runtime_items().get(&server_key(id))?;
+        let server = item.value.as_deref().and_then(Server::decode)?;
+        let is_lost = server.state == ServerState::Lost;
+        let lost = Server { state: ServerState::Lost, ..server };
+        (!is_lost).then(|| lost.to_item(id, item.version.revision))
+    }
+}
--- /dev/null
+++ b/crates/registry/src/run.rs
@@ -0,0 +1,303 @@
+//! The running registry: its state machine joined to links and to the calls from outside.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+use std::error::Error;
+use std::io;
+use std::net::Ipv4Addr;
+use std::path::PathBuf;
+use std::rc::{Rc, Weak};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use bytes::Bytes;
+use http_body_util::combinators::MapErr;
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use hyper::header::{HeaderValue, CONTENT_TYPE};
+use hyper::{Request, Response, StatusCode};
+use pinerelay_admission::quota::QuotaBounds;
+use pinerelay_admission::Micros;
+use pinerelay_config_state::hash;
+use pinerelay_node_runtime::internal_port;
+use pinerelay_node_runtime::settings::Settings;
+use pinerelay_node_runtime::settings_watch;
+use pinerelay_peer_link::link::{LinkEvent, LinkEvents, LinkHandle, Links};
+use pinerelay_peer_link::message::{CallReply, Hello, Metric, PeerMessage, Role};
+use pinerelay_traffic::budget::Budget;
+use pinerelay_traffic::front::{last, Front, Handler};
+use pinerelay_traffic::listen::{listen, Gate};
+use pinerelay_traffic::room::Room;
+use pinerelay_traffic::vigil::Vigil;
+use pinerelay_traffic::wire::Wire;
+use pinerelay_traffic::Common;
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::sync::oneshot;
+use tokio::time::{sleep, sleep_until, Instant};
+
+use crate::call_body::{BodyError, BodyMemory};
+use crate::control_call::{self, ControlCall};
+use crate::registry::{Output, Registry, RegistryConfig};
+
+/// The interval of ticks.
+const TICK: Duration = Duration::from_millis(100);
+/// How long a head may take.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a caller's connection may be idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Connections that may wait to be accepted.
+const BACKLOG: u32 = 1024;
+/// At a planned shutdown calls under way have so long to end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(800);
+/// How often it is checked whether they have.
+const SHUTDOWN_CHECK: Duration = Duration::from_millis(20);
+/// Callers get one descriptor in so many; the rest is for links and files.
+const RESERVED_DESCRIPTORS_DIVISOR: usize = 3;
+/// The part of the callers' descriptors that is used.
+const DESCRIPTOR_USE: f64 = 0.9;
+
+/// The registry with what it is joined to.
+struct RunningRegistry {
+    registry: RefCell<Registry>,
+    links: Rc<Links>,
+    body_memory: Rc<BodyMemory>,
+    settings: Settings,
+    /// The calls that wait for their answer.
+    calls: RefCell<BTreeMap<u64, oneshot::Sender<CallReply>>>,
+    last_call: Cell<u64>,
+    started: Instant,
+    is_shutting_down: Cell<bool>,
+    this: Weak<RunningRegistry>,
+}
+
+/// Runs a registry until SIGTERM. Calls under way are answered first, for at most 0.8 s.
+///
+/// # Errors
+/// If an address or the limit of descriptors cannot be used.
+pub async fn run(path: PathBuf, settings: Settings) -> Result<(), Box<dyn Error>> {
+    let control = Settings::required_address(&path, "control", settings.listen.control)?;
+    let allowed = rlimit::increase_nofile_limit(settings.limits.file_limit as u64)?;
+    let (links, events) = Links::new();
+    links.listen(settings.internal_address(settings.ip, internal_port::REGISTRY))?;
+    let descriptors = settings.limits.file_limit.min(allowed as usize);
+    let running = RunningRegistry::new(links, settings);
+    let reserved = descriptors / RESERVED_DESCRIPTORS_DIVISOR;
+    let common = Common {
+        budget: Budget::new(descriptors, reserved, DESCRIPTOR_USE),
+        room: Room::of(running.settings.limits.memory_mb),
+        vigil: Vigil::new(),
+    };
+    let front = Front::new(running.clone(), common);
+    let gate = Rc::new(Gate::default());
+    tokio::task::spawn_local(front.clone().accept(listen(control.into(), BACKLOG)?, gate.clone(), false));
+    gate.open();
+    log::info!("takes calls at {control}");
+    tokio::task::spawn_local(settings_watch::watch(path, |_| log::info!("the settings file has changed")));
+    let mut events = running.event_loop(events).await?;
+    log::info!("shuts down as planned");
+    running.is_shutting_down.set(true);
+    running.with_registry(|registry, now, out| registry.shut_down(now, out));
+    gate.shut();
+    front.close_idle();
+    let by = Instant::now() + SHUTDOWN_TIMEOUT;
+    while Instant::now() < by && (!running.calls.borrow().is_empty() || front.connections() > 0) {
+        tokio::select! {
+            Some(event) = events.recv() => running.on_event(event),
+            () = sleep(SHUTDOWN_CHECK) => {}
+        }
+    }
+    Ok(())
+}
+
+/// What the state machine is told at its start.
+fn registry_config(settings: &Settings) -> RegistryConfig {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let process_id = hash::hash_parts(&[settings.node.as_bytes(), &now.as_nanos().to_le_bytes()]);
+    let bounds = &settings.bounds;
+    RegistryConfig {
+        hello: Hello {
+            node: settings.node.clone(),
+            ip: settings.ip.to_string(),
+            role: Role::Registry,
+            process_id,
+        },
+        first_start: settings.first_start,
+        time_of_day: now.as_secs(),
+        heartbeat_interval: settings.heartbeat.as_micros(),
+        quota_bounds: QuotaBounds {
+            period: bounds.quota_period.0,
+            overrun: bounds.quota_overrun,
+            margin: bounds.quota_margin,
+        },
+        seeds: settings.seeds().iter().map(Ipv4Addr::to_string).collect(),
+    }
+}
+
+impl RunningRegistry {
+    fn new(links: Rc<Links>, settings: Settings) -> Rc<RunningRegistry> {
+        Rc::new_cyclic(|this| RunningRegistry {
+            registry: RefCell::new(Registry::new(0, registry_config(&settings))),
+            links,
+            body_memory: BodyMemory::of_process(settings.limits.memory_mb),
+            settings,
+            calls: RefCell::default(),
+            last_call: Cell::new(0),
+            started: Instant::now(),
+            is_shutting_down: Cell::new(false),
+            this: this.clone(),
+        })
+    }
+
+    /// Handles events until SIGTERM.
+    async fn event_loop(&self, mut events: LinkEvents) -> io::Result<LinkEvents> {
+        let mut terminate = signal(SignalKind::terminate())?;
+        let mut links: BTreeMap<(String, Role), LinkHandle> = BTreeMap::new();
+        let mut next_tick = Instant::now();
+        loop {
+            tokio::select! {
+                biased;
+                _ = terminate.recv() => return Ok(events),
+                Some(event) = events.recv() => self.on_event(event),
+                () = sleep_until(next_tick) => {
+                    next_tick = Instant::now() + TICK;
+                    self.with_registry(|registry, now, out| registry.tick(now, out));
+                    self.update_links(&mut links);
+                }
+            }
+        }
+    }
+
+    /// Keeps links to the processes that it has to reach.
+    fn update_links(&self, links: &mut BTreeMap<(String, Role), LinkHandle>) {
+        let wanted = self.registry.borrow().wanted_links();
+        links.retain(|link, _| wanted.contains(link));
+        for (ip, role) in wanted {
+            let Ok(machine) = ip.parse() else { continue };
+            let port = match role {
+                Role::ConfigStore => internal_port::CONFIG_STORE,
+                Role::Registry | Role::Proxy | Role::Observer => internal_port::REGISTRY,
+            };
+            let address = self.settings.internal_address(machine, port);
+            links.entry((ip, role)).or_insert_with(|| self.links.connect(address));
+        }
+    }
+
+    fn on_event(&self, event: LinkEvent) {
+        self.with_registry(|registry, now, out| match event {
+            LinkEvent::Connected(connection, _) => registry.connected(connection, out),
+            LinkEvent::Received(connection, message) => registry.receive(now, connection, message, out),
+            LinkEvent::Disconnected(connection) => registry.disconnected(now, connection, out),
+        });
+    }
+
+    fn with_registry(&self, act: impl FnOnce(&mut Registry, Micros, &mut Vec<Output>)) {
+        let mut outputs = Vec::new();
+        let now = self.started.elapsed().as_micros() as Micros;
+        act(&mut self.registry.borrow_mut(), now, &mut outputs);
+        for output in outputs {
+            match output {
+                Output::Send(connection, PeerMessage::Metrics(metrics)) => {
+                    self.links.send(connection, &PeerMessage::Metrics(self.all_metrics(metrics)));
+                }
+                Output::Send(connection, message) => self.links.send(connection, &message),
+                Output::Broadcast(connections, message) => self.links.send_all(connections, &message),
+                Output::Close(connection) => self.links.close(connection),
+                Output::Answer(call, reply) => {
+                    if let Some(caller) = self.calls.borrow_mut().remove(&call) {
+                        // A caller that has gone does not wait.
+                        let _ = caller.send(reply);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Adds the metrics of the process to those of the state machine.
+    fn all_metrics(&self, mut metrics: Vec<Metric>) -> Vec<Metric> {
+        let zone = &self.settings.zone;
+        metrics.push(Metric::new(format!("registry_info{{zone=\"{zone}\"}}"), 1.0));
+        metrics.push(Metric::new("registry_open_calls", self.calls.borrow().len() as f64));
+        metrics.extend(self.links.metrics(Role::Registry.name()));
+        metrics
+    }
+
+    async fn answer_request(&self, request: Request<Incoming>) -> CallReply {
+        if self.is_shutting_down.get() {
+            return CallReply::error(503, "the registry ends");
+        }
+        let (head, body) = request.into_parts();
+        // The body's memory counts as taken until the call is answered.
+        let (body, _permit) = match self.body_memory.read(body).await {
+            Ok(read) => read,
+            Err(error) => return CallReply::error(status_of(&error), &error.to_string()),
+        };
+        match control_call::parse(head.method.as_str(), head.uri.path(), head.uri.query(), &body) {
+            Ok(call) => self.carry_out(call).await,
+            Err(error) => CallReply::error(error.status(), &error.to_string()),
+        }
+    }
+
+    /// Carries out a call. Cancelling it, when the caller has gone, forgets its answer.
+    async fn carry_out(&self, call: ControlCall) -> CallReply {
+        let number = self.last_call.get() + 1;
+        self.last_call.set(number);
+        let (answer, answered) = oneshot::channel();
+        self.calls.borrow_mut().insert(number, answer);
+        self.with_registry(|registry, now, out| registry.call(now, number, call, out));
+        let _guard = CallGuard { registry: self.this.clone(), number };
+        answered.await.unwrap_or_else(|_| CallReply::error(503, "the registry ends"))
+    }
+}
+
+fn status_of<E>(error: &BodyError<E>) -> u16 {
+    match error {
+        BodyError::TooLong => 413,
+        BodyError::OutOfMemory => 503,
+        BodyError::TimedOut => 408,
+        BodyError::Connection(_) => 400,
+    }
+}
+
+/// Removes a call once its caller does not wait any more.
+struct CallGuard {
+    registry: Weak<RunningRegistry>,
+    number: u64,
+}
+
+impl Drop for CallGuard {
+    fn drop(&mut self) {
+        if let Some(registry) = self.registry.upgrade() {
+            registry.calls.borrow_mut().remove(&self.number);
+        }
+    }
+}
+
+type ReplyBody = MapErr<Full<Bytes>, fn(Infallible) -> io::Error>;
+
+impl Handler for RunningRegistry {
+    type Reply = ReplyBody;
+
+    async fn answer(&self, request: Request<Incoming>, _: &Wire) -> Response<ReplyBody> {
+        let CallReply { status, body } = self.answer_request(request).await;
+        let never: fn(Infallible) -> io::Error = |never| match never {};
+        let mut response = Response::new(Full::new(Bytes::from(body)).map_err(never));
+        *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        if self.is_shutting_down.get() || matches!(status, 400 | 408 | 413) {
+            last(&mut response);
+        }
+        response
+    }
+
+    fn close_an_idle(&self) -> bool {
+        false
+    }
+
+    fn head_wait(&self) -> Duration {
+        HEADER_TIMEOUT
+    }
+
+    fn idle_wait(&self) -> Option<Duration> {
+        Some(IDLE_TIMEOUT)
+    }
+}
--- a/crates/scout/tests/calls.rs
+++ b/crates/registry/tests/calls.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use pinerelay_dance::Membership;
-use pinerelay_nectar::terms::Bounds;
-use pinerelay_propolis::speech::{Answered, Hello, Role, Speech};
-use pinerelay_scout::dispatch::{self, Call};
-use pinerelay_scout::registry::{Birth, Output, Registry};
+use pinerelay_admission::quota::QuotaBounds;
+use pinerelay_consensus::Membership;
+use pinerelay_peer_link::message::{CallReply, Hello, PeerMessage, Role};
+use pinerelay_registry::control_call::{self, ControlCall};
+use pinerelay_registry::registry::{Output, Registry, RegistryConfig};
 
 /// Time passes in such steps, as in the process.
 const TICK: u64 = 100_000;
@@ -17,7 +17,7 @@
 const OWN: &str = "127.0.0.1";
 
 fn hello(ip: &str, role: Role, life: u64) -> Hello {
-    Hello { node: format!("core-{ip}"), ip: ip.into(), role, life }
+    Hello { node: format!("core-{ip}"), ip: ip.into(), role, process_id: life }
 }
 
 /// A registry, its clock, and what it has answered: to which call, with which status, and when.
@@ -33,11 +33,18 @@
 
 impl Play {
     fn new(voters: &[&str]) -> Play {
-        let bounds = Bounds { period: Duration::from_secs(5), overrun: 0.1, margin: 20.0 };
+        let bounds = QuotaBounds { period: Duration::from_secs(5), overrun: 0.1, margin: 20.0 };
         let seeds = voters.iter().map(|ip| ip.to_string()).collect();
-        let hello = hello(OWN, Role::Scout, 1);
-        let birth = Birth { hello, first: true, heartbeat: 1_500_000, bounds, seeds, wall: 0 };
-        let registry = Registry::new(0, birth);
+        let hello = hello(OWN, Role::Registry, 1);
+        let config = RegistryConfig {
+            hello,
+            first_start: true,
+            heartbeat_interval: 1_500_000,
+            quota_bounds: bounds,
+            seeds,
+            time_of_day: 0,
+        };
+        let registry = Registry::new(0, config);
         let (speaking, answered) = Default::default();
         Play { registry, now: 0, speaking, answered, passed: Vec::new(), holds: Vec::new() }
     }
@@ -48,9 +55,11 @@
         for output in &out {
             match output {
                 Output::Answer(call, answered) => self.answered.push((*call, answered.status, self.now)),
-                Output::Say(peer, Speech::Pass(number, _)) => self.passed.push((*peer, *number)),
-                Output::Say(peer, Speech::Hold { number, .. }) => self.holds.push((*peer, *number)),
-                Output::SayAll(peers, Speech::Hold { number, .. }) => {
+                Output::Send(peer, PeerMessage::ForwardCall(number, _)) => self.passed.push((*peer, *number)),
+                Output::Send(peer, PeerMessage::Replicate { number, .. }) => {
+                    self.holds.push((*peer, *number))
+                }
+                Output::Broadcast(peers, PeerMessage::Replicate { number, .. }) => {
                     self.holds.extend(peers.iter().map(|peer| (*peer, *number)));
                 }
                 _ => {}
@@ -59,33 +68,33 @@
         out
     }
 
-    fn said(&mut self, peer: u64, speech: Speech) -> Vec<Output> {
-        self.act(|registry, now, out| registry.said(now, peer, speech, out))
+    fn said(&mut self, peer: u64, message: PeerMessage) -> Vec<Output> {
+        self.act(|registry, now, out| registry.receive(now, peer, message, out))
     }
 
     /// A store's connection comes up.
     fn store(&mut self, peer: u64, ip: &str) {
-        self.said(peer, Speech::Hello(hello(ip, Role::Comb, peer)));
+        self.said(peer, PeerMessage::Hello(hello(ip, Role::ConfigStore, peer)));
         self.speaks(peer);
         self.speaking.push(peer);
     }
 
     fn speaks(&mut self, peer: u64) {
         let membership = Membership::default();
-        self.said(peer, Speech::StoreStands { membership, whole: true, current: true });
+        self.said(peer, PeerMessage::StoreStatus { membership, is_complete: true, is_current: true });
     }
 
     fn down(&mut self, peer: u64) {
         self.speaking.retain(|&speaks| speaks != peer);
-        self.act(|registry, now, out| registry.down(now, peer, out));
+        self.act(|registry, now, out| registry.disconnected(now, peer, out));
     }
 
-    fn call(&mut self, number: u64, call: Call) {
+    fn call(&mut self, number: u64, call: ControlCall) {
         self.act(|registry, now, out| registry.call(now, number, call, out));
     }
 
     fn answer(&mut self, peer: u64, number: u64, status: u16) {
-        self.said(peer, Speech::Answer(number, Answered { status, body: "{}".into() }));
+        self.said(peer, PeerMessage::CallReply(number, CallReply { status, body: "{}".into() }));
     }
 
     fn ticks(&mut self, ticks: u64) {
@@ -104,7 +113,7 @@
     let mut play = Play::new(&[OWN, "127.0.0.2", "127.0.0.3"]);
     play.store(1, "127.0.0.2");
     play.store(2, "127.0.0.3");
-    play.call(70, Call::Read);
+    play.call(70, ControlCall::Read);
     let [(peer, number)] = play.passed[..] else { panic!("it is passed to one") };
     // Another store has the number of this machine's registry in an earlier life; and nobody has this one.
     play.answer(3 - peer, number, 200);
@@ -119,8 +128,8 @@
 fn a_connection_belongs_to_one_life() {
     let mut play = Play::new(&[OWN]);
     play.store(1, OWN);
-    let again = play.said(1, Speech::Hello(hello(OWN, Role::Comb, 9)));
-    expect_that!(again, elements_are![eq(&Output::Cut(1))]);
+    let again = play.said(1, PeerMessage::Hello(hello(OWN, Role::ConfigStore, 9)));
+    expect_that!(again, elements_are![eq(&Output::Close(1))]);
 }
 
 #[gtest]
@@ -128,7 +137,7 @@
     let mut play = Play::new(&[OWN, "127.0.0.2", "127.0.0.3"]);
     play.store(1, "127.0.0.2");
     play.store(2, "127.0.0.3");
-    play.call(70, Call::Read);
+    play.call(70, ControlCall::Read);
     play.down(1);
     let [(1, first), (2, second)] = play.passed[..] else { panic!("{:?}", play.passed) };
     // The link is taken up again, and the store has not forgotten.
@@ -140,7 +149,7 @@
     expect_that!(play.answered, elements_are![eq(&(70, 200, 0))]);
     // With no other store there is nothing to wait for.
     play.down(3);
-    play.call(71, Call::Read);
+    play.call(71, ControlCall::Read);
     play.down(2);
     expect_that!(play.answered[1..], elements_are![eq(&(71, 503, 0))]);
 }
@@ -151,7 +160,7 @@
     let mut play = Play::new(&[OWN, "127.0.0.2", "127.0.0.3"]);
     play.store(1, "127.0.0.2");
     play.store(2, "127.0.0.3");
-    play.call(70, Call::Update(b"{}".to_vec()));
+    play.call(70, ControlCall::Update(b"{}".to_vec()));
     let [(1, first)] = play.passed[..] else { panic!("{:?}", play.passed) };
     play.down(1);
     play.store(3, "127.0.0.2");
@@ -168,7 +177,7 @@
     let mut play = Play::new(&[OWN, "127.0.0.2", "127.0.0.3"]);
     play.store(1, "127.0.0.2");
     play.store(2, "127.0.0.3");
-    play.call(70, Call::Read);
+    play.call(70, ControlCall::Read);
     play.ticks(6);
     play.down(1);
     play.ticks(4);
@@ -189,12 +198,12 @@
         if number == 20 {
             play.down(1);
         }
-        let other = ("127.0.0.2".to_string(), Role::Comb);
-        if play.registry.wanted().contains(&other) && !play.speaking.contains(&2) {
+        let other = ("127.0.0.2".to_string(), Role::ConfigStore);
+        if play.registry.wanted_links().contains(&other) && !play.speaking.contains(&2) {
             play.store(2, "127.0.0.2");
         }
         begun.push(play.now);
-        play.call(number, Call::Read);
+        play.call(number, ControlCall::Read);
         for (peer, number) in std::mem::take(&mut play.passed) {
             if peer == 2 {
                 play.answer(2, number, 200);
@@ -222,17 +231,17 @@
     play.ticks(3);
     play.now += 20_000_000;
     // Neither before its first tick nor right after it.
-    play.call(1, Call::Read);
+    play.call(1, ControlCall::Read);
     play.ticks(1);
-    play.call(2, Call::Read);
+    play.call(2, ControlCall::Read);
     expect_that!(play.passed.len(), eq(2));
 }
 
-fn drains() -> Call {
-    let beat = r#"{"service":"s","address":"127.0.0.9:80","zone":"z","revision":"v","capacity":1,"state":"draining",
+fn drains() -> ControlCall {
+    let heartbeat = r#"{"service":"s","address":"127.0.0.9:80","zone":"z","revision":"v","capacity":1,"state":"draining",
         "warmup_left":"0ms","call_count":4}"#;
     let query = Some("call=servers.heartbeat&of=i-1");
-    dispatch::read("POST", dispatch::PATH, query, beat.as_bytes()).expect("a call")
+    control_call::parse("POST", control_call::PATH, query, heartbeat.as_bytes()).expect("a call")
 }
 
 #[gtest]
@@ -240,14 +249,14 @@
     let mut play = Play::new(&[OWN, "127.0.0.2", "127.0.0.3"]);
     play.call(70, drains());
     expect_that!(play.answered, elements_are![eq(&(70, 503, 0))], "there is nobody who could hold it");
-    play.said(1, Speech::Hello(hello("127.0.0.2", Role::Scout, 1)));
+    play.said(1, PeerMessage::Hello(hello("127.0.0.2", Role::Registry, 1)));
     play.call(71, drains());
     let [(1, number)] = play.holds[..] else { panic!("{:?}", play.holds) };
     // One that has come since was not asked.
-    play.said(2, Speech::Hello(hello("127.0.0.3", Role::Scout, 1)));
-    play.said(2, Speech::Held(number));
+    play.said(2, PeerMessage::Hello(hello("127.0.0.3", Role::Registry, 1)));
+    play.said(2, PeerMessage::Replicated(number));
     expect_that!(play.answered.len(), eq(1));
-    play.said(1, Speech::Held(number));
+    play.said(1, PeerMessage::Replicated(number));
     expect_that!(play.answered[1..], elements_are![eq(&(71, 200, 0))]);
 }
 
@@ -255,17 +264,17 @@
 fn a_leaving_is_asked_for_again_where_a_connection_is_left_and_else_given_up_at_once() {
     let mut play = Play::new(&[OWN, "127.0.0.2"]);
     // Both ends make a connection to the other.
-    play.said(1, Speech::Hello(hello("127.0.0.2", Role::Scout, 1)));
-    play.said(2, Speech::Hello(hello("127.0.0.2", Role::Scout, 1)));
+    play.said(1, PeerMessage::Hello(hello("127.0.0.2", Role::Registry, 1)));
+    play.said(2, PeerMessage::Hello(hello("127.0.0.2", Role::Registry, 1)));
     play.call(70, drains());
     play.down(2);
     let [(2, first), (1, second)] = play.holds[..] else { panic!("{:?}", play.holds) };
-    play.said(2, Speech::Held(first));
+    play.said(2, PeerMessage::Replicated(first));
     expect_that!(play.answered, is_empty());
-    play.said(1, Speech::Held(second));
+    play.said(1, PeerMessage::Replicated(second));
     expect_that!(play.answered, elements_are![eq(&(70, 200, 0))]);
     let mut play = Play::new(&[OWN, "127.0.0.2"]);
-    play.said(1, Speech::Hello(hello("127.0.0.2", Role::Scout, 1)));
+    play.said(1, PeerMessage::Hello(hello("127.0.0.2", Role::Registry, 1)));
     play.call(71, drains());
     play.down(1);
     expect_that!(play.answered, elements_are![eq(&(71, 503, 0))]);
@@ -275,7 +284,7 @@
 fn an_order_that_may_have_waited_through_a_standstill_is_passed_to_nobody() {
     let mut play = Play::new(&[OWN, "127.0.0.2", "127.0.0.3"]);
     play.store(1, OWN);
-    let update = || Call::Update(b"{}".to_vec());
+    let update = || ControlCall::Update(b"{}".to_vec());
     play.ticks(1);
     play.call(70, update());
     expect_that!(play.passed.len(), eq(1));
--- a/crates/smoker/examples/size.rs
+++ b/crates/smoker/examples/size.rs
@@ -3,16 +3,26 @@
 use std::time::Instant;
 
 use getopts::Options;
-use pinerelay_cells::routes::Table;
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{call, judge, Cells, Item};
-use pinerelay_nectar::purse::{Ask, Grant};
-use pinerelay_nectar::terms::Quota;
-use pinerelay_nectar::well::{Call, Well};
-use pinerelay_propolis::speech::{self, Speech};
+use pinerelay_admission::lease::Usage;
+use pinerelay_admission::lease::{LeaseGrant, LeaseRequest};
+use pinerelay_admission::quota::Quota;
+use pinerelay_admission::quota_allocator::QuotaAllocator;
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::validation::{accept_update, IndexedItems};
+use pinerelay_config_state::{operator_call, Item, ItemSet};
+use pinerelay_peer_link::codec;
+use pinerelay_peer_link::message::{PeerMessage, TenantGrant};
 
 /// A call for a unit.
-const ONE: Call = Call { want: 1.0, back: 0.0, holds: 0.0, spent: 0.0, lately: 0.0, left: 0.0 };
+const ONE: Usage = Usage {
+    wanted: 1.0,
+    returned: 0.0,
+    held_share: 0.0,
+    share_spent: 0.0,
+    share_spent_lately: 0.0,
+    share_left: 0.0,
+};
 
 /// The memory of one of a thing, in MB. As many are made as take what was freed before, and 100 MB more.
 fn holds<T>(make: impl Fn() -> T) -> f64 {
@@ -72,22 +82,22 @@
         zone: "zone-of-some-name".into(),
         revision: "v1".into(),
         capacity: 3,
-        state: State::Ready,
+        state: ServerState::Ready,
         warmup_ms: 0,
     };
-    server.item(&format!("i-{n:010x}"), 1)
+    server.to_item(&format!("i-{n:010x}"), 1)
 }
 
-fn copy(items: &[Item]) -> Cells {
-    let mut cells = Cells::default();
-    cells.merge_all(items.iter().cloned());
-    cells
+fn copy(items: &[Item]) -> ItemSet {
+    let mut item_set = ItemSet::default();
+    item_set.merge_all(items.iter().cloned());
+    item_set
 }
 
 fn whole(name: &str, items: &[Item]) {
-    let cells = copy(items);
-    let (ms, _) = took(|| cells.digest());
-    let (written, all) = took(|| speech::write(&Speech::News(items.to_vec())));
+    let item_set = copy(items);
+    let (ms, _) = took(|| item_set.digest());
+    let (written, all) = took(|| codec::encode(&PeerMessage::Update(items.to_vec())));
     println!(
         "{name}: {} items; all of them {} bytes, written in {written:.2} ms; their digest in {ms:.2} ms",
         items.len(),
@@ -98,27 +108,28 @@
 /// What a proxy and a count say for one unit of a tenant.
 fn unit() -> usize {
     let tenant = "tenant12345".to_owned();
-    let ask = Ask {
+    let ask = LeaseRequest {
         tenant: tenant.clone(),
-        want: 1.0,
-        back: 0.0,
-        holds: 0.01,
-        spent: 3.0,
-        lately: 0.0,
-        left: 0.0,
-        fence: 7,
+        wanted: 1.0,
+        returned: 0.0,
+        held_share: 0.01,
+        share_spent: 3.0,
+        share_spent_lately: 0.0,
+        share_left: 0.0,
+        fencing_token: 7,
     };
-    let grant = Grant::Block { units: 1.0, life: 400_000, fence: 7, share: 0.01 };
-    speech::write(&Speech::Draw(vec![ask])).len() + speech::write(&Speech::Drawn(vec![(tenant, grant)])).len()
+    let grant = LeaseGrant::Units { units: 1.0, duration: 400_000, fencing_token: 7, share: 0.01 };
+    codec::encode(&PeerMessage::LeaseRequests(vec![ask])).len()
+        + codec::encode(&PeerMessage::LeaseGrants(vec![TenantGrant { tenant, grant }])).len()
 }
 
 /// A tenant's count from which so many proxies draw a unit each.
-fn count(proxies: usize) -> Well {
-    let mut well = Well::new(0, Quota { rate: 1e6, burst: 1e6 });
+fn count(proxies: usize) -> QuotaAllocator {
+    let mut allocator = QuotaAllocator::new(0, Quota { rate: 1e6, burst: 1e6 });
     for n in 0..proxies {
-        well.draw(n as u64, &format!("proxy{n}"), false, &ONE);
+        allocator.draw(n as u64, &format!("proxy{n}"), false, &ONE);
     }
-    well
+    allocator
 }
 
 fn main() {
@@ -137,45 +148,42 @@
 
     println!("a count from which 84 proxies draw: {:.1} KB", 1e3 * holds(|| count(84)));
     for proxies in [6, 84, 590] {
-        let mut well = count(proxies);
-        let (ms, _) = took(|| (0..1_000).map(|n| well.draw(1_000 + n, "proxy1", false, &ONE)).count());
+        let mut allocator = count(proxies);
+        let (ms, _) = took(|| (0..1_000).map(|n| allocator.draw(1_000 + n, "proxy1", false, &ONE)).count());
         println!("a unit from a count of {proxies} proxies: {ms:.2} us");
     }
 
     let text = configuration(routes, tenants, services, 1);
-    let (read, items) = took(|| call::read(text.as_bytes()).unwrap_or_default());
+    let (read, items) = took(|| operator_call::parse_update(text.as_bytes()).unwrap_or_default());
     println!("the first call: {} bytes, read in {read:.1} ms", text.len());
-    let (ms, _) = took(|| judge::taken(&Cells::default(), &items).is_ok());
+    let (ms, _) = took(|| accept_update(&ItemSet::default(), &items).is_ok());
     println!("judged whole in {ms:.1} ms");
 
-    let cells = copy(&items);
-    let (ms, table) = took(|| Table::of(&cells));
+    let item_set = copy(&items);
+    let (ms, table) = took(|| RoutingTable::from_items(&item_set));
     println!(
         "items in memory: {:.1} MB; the table in force: {:.1} MB, made in {ms:.1} ms",
         holds(|| copy(&items)),
-        holds(|| Table::of(&cells))
+        holds(|| RoutingTable::from_items(&item_set))
     );
 
     let change = configuration(1, 0, services, 2);
-    let one = call::read(change.as_bytes()).unwrap_or_default();
-    let standing = judge::Standing::new(cells.clone());
-    let (ms, _) = took(|| standing.taken(&one).is_ok());
-    let bytes = speech::write(&Speech::News(one.iter().take(1).cloned().collect())).len();
+    let one = operator_call::parse_update(change.as_bytes()).unwrap_or_default();
+    let standing = IndexedItems::new(item_set.clone());
+    let (ms, _) = took(|| standing.accept_update(&one).is_ok());
+    let bytes = codec::encode(&PeerMessage::Update(one.iter().take(1).cloned().collect())).len();
     println!("a change of one route: judged in {:.1} us, {bytes} bytes of news", 1e3 * ms);
-    println!(
-        "the items with what ties them together: {:.1} MB",
-        holds(|| judge::Standing::new(copy(&items)))
-    );
-    let (ms, _) = took(|| cells.clone());
+    println!("the items with what ties them together: {:.1} MB", holds(|| IndexedItems::new(copy(&items))));
+    let (ms, _) = took(|| item_set.clone());
     println!("a copy of the items: {ms:.1} ms");
-    let (ms, read) = took(|| call::write(&cells));
+    let (ms, read) = took(|| operator_call::render_configuration(&item_set));
     println!("the answer to a read: {} bytes, written in {ms:.1} ms", read.len());
-    let (ms, _) = took(|| table.tenant("00000000000000000001").is_some());
+    let (ms, _) = took(|| table.tenant_by_key("00000000000000000001").is_some());
     println!("a tenant by its key: {:.2} us", 1e3 * ms);
 
     println!("a unit of a tenant: {} bytes, both ways", unit());
     whole("configuration", &items);
-    let hive: Vec<Item> = (0..servers).map(server).collect();
-    println!("servers in memory: {:.2} MB", holds(|| copy(&hive)));
-    whole("servers", &hive);
+    let server_items: Vec<Item> = (0..servers).map(server).collect();
+    println!("servers in memory: {:.2} MB", holds(|| copy(&server_items)));
+    whole("servers", &server_items);
 }
--- a/crates/smoker/src/check.rs
+++ b/crates/smoker/src/check.rs
@@ -4,15 +4,15 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use pinerelay_cells::item::Version;
-use pinerelay_cells::{call, judge, Cells, Item, Key};
+use pinerelay_config_state::item::Version;
+use pinerelay_config_state::{operator_call, validation, Item, ItemSet, Key};
 
 use crate::figures::Figures;
 use crate::orders::Orders;
 use crate::plan::{Micros, SECOND};
 use crate::process::Proc;
 
-pub use invariant::{Breach, Invariant};
+pub use invariant::{ForwardingViolation, Invariant};
 
 /// A change that was acknowledged is in force after this at who is in touch; a server that leaves gets no more.
 pub const APPLY: Micros = 2_500_000;
@@ -89,7 +89,7 @@
     pub fn called(&mut self, items: &[Item]) {
         for item in items.iter().filter(|item| item.value.is_none()) {
             let newest = self.drops.entry(item.key.clone()).or_default();
-            *newest = (*newest).max(item.version.0);
+            *newest = (*newest).max(item.version.revision);
         }
     }
 
@@ -98,15 +98,15 @@
         &mut self,
         now: Micros,
         items: &[Item],
-        proxies: &BTreeMap<Proc, (Micros, &Cells)>,
+        proxies: &BTreeMap<Proc, (Micros, &ItemSet)>,
         figures: &mut Figures,
     ) {
         for item in items {
             let newest = self.newest.entry(item.key.clone()).or_default();
-            *newest = (*newest).max(item.version.0);
-            self.acks.push((now, item.key.clone(), item.version.0));
+            *newest = (*newest).max(item.version.revision);
+            self.acks.push((now, item.key.clone(), item.version.revision));
         }
-        let what: Vec<(Key, u64)> = items.iter().map(|i| (i.key.clone(), i.version.0)).collect();
+        let what: Vec<(Key, u64)> = items.iter().map(|i| (i.key.clone(), i.version.revision)).collect();
         if self.first.is_empty() {
             self.first.clone_from(&what);
         }
@@ -122,16 +122,16 @@
     }
 
     /// What of all that was acknowledged before a moment a copy lacks.
-    pub fn lacks(&self, before: Micros, cells: &Cells) -> Option<String> {
+    pub fn lacks(&self, before: Micros, cells: &ItemSet) -> Option<String> {
         let past = |(at, key, version): &&(Micros, Key, u64)| {
-            *at < before && cells.get(key).is_none_or(|item| item.version.0 < *version)
+            *at < before && cells.get(key).is_none_or(|item| item.version.revision < *version)
         };
         let (at, key, version) = self.acks.iter().find(past)?;
         Some(format!("{key:?} at {version}, acknowledged at {:.3} s", *at as f64 / 1e6))
     }
 
     /// A proxy serves a configuration that a registry has confirmed as current.
-    pub fn confirmed(&mut self, now: Micros, proc: Proc, cells: &Cells) {
+    pub fn confirmed(&mut self, now: Micros, proc: Proc, cells: &ItemSet) {
         if let Some(what) = self.lacks(now.saturating_sub(CONTACT), cells) {
             self.broken(Invariant::NeverOld, format!("proxy {proc} is whole without {what}"));
         }
@@ -150,12 +150,12 @@
 
     /// A read has been answered; `floor` had been acknowledged before it.
     pub fn read(&mut self, floor: &BTreeMap<Key, u64>, text: &str, orders: &Orders) {
-        let Ok(stands) = call::read(format!("{{\"upsert\":{text}}}").as_bytes()) else {
+        let Ok(stands) = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes()) else {
             return self.broken(Invariant::Stands, "a read can't be read".into());
         };
-        let mut all = Cells::default();
+        let mut all = ItemSet::default();
         all.merge_all(stands);
-        if let Err(unfit) = judge::together(&all) {
+        if let Err(unfit) = validation::check_references(&all) {
             self.broken(Invariant::Valid, format!("a read: {unfit}"));
         }
         if let Some(what) = orders.differs(&all) {
@@ -163,7 +163,7 @@
         }
         self.in_force("a read", &all);
         for (key, newest) in floor {
-            let there = all.get(key).map(|item| item.version.0);
+            let there = all.get(key).map(|item| item.version.revision);
             let dropped = self.drops.get(key).copied();
             // What was confirmed as set is absent only after a later drop.
             let least = *newest + u64::from(orders.was_set(key, *newest));
@@ -177,8 +177,8 @@
         }
     }
 
-    fn in_force(&mut self, whose: &str, cells: &Cells) {
-        let bad = cells.all().find(|i| self.refused.contains(&(i.key.clone(), i.version)));
+    fn in_force(&mut self, whose: &str, cells: &ItemSet) {
+        let bad = cells.iter().find(|i| self.refused.contains(&(i.key.clone(), i.version)));
         if let Some(key) = bad.map(|item| item.key.clone()) {
             self.broken(Invariant::Valid, format!("{whose}: {key:?} was refused and is in force"));
         }
@@ -205,12 +205,13 @@
     }
 
     /// A proxy has put this in force.
-    pub fn configured(&mut self, now: Micros, proc: Proc, cells: &Cells, figures: &mut Figures) {
+    pub fn configured(&mut self, now: Micros, proc: Proc, cells: &ItemSet, figures: &mut Figures) {
         let seen = self.seen.entry(proc).or_default();
-        let back =
-            seen.iter().find(|(key, version)| cells.get(key).is_none_or(|item| item.version.0 < **version));
+        let back = seen
+            .iter()
+            .find(|(key, version)| cells.get(key).is_none_or(|item| item.version.revision < **version));
         let back = back.map(|(key, version)| format!("proxy {proc} had {key:?} at {version}"));
-        seen.extend(cells.all().map(|item| (item.key.clone(), item.version.0)));
+        seen.extend(cells.iter().map(|item| (item.key.clone(), item.version.revision)));
         if let Some(what) = back {
             self.broken(Invariant::NeverBack, what);
         }
@@ -227,9 +228,9 @@
     }
 
     /// What a table lacks of the first configuration, unless a drop of it was called for.
-    fn first_lacks(&self, cells: &Cells) -> Option<String> {
+    fn first_lacks(&self, cells: &ItemSet) -> Option<String> {
         let lacks = |(key, version): &&(Key, u64)| {
-            let held = cells.get(key).is_some_and(|item| item.version.0 >= *version);
+            let held = cells.get(key).is_some_and(|item| item.version.revision >= *version);
             !held && !self.drops.contains_key(key)
         };
         self.first.iter().find(lacks).map(|(key, version)| format!("{key:?} at {version}"))
@@ -294,7 +295,7 @@
     pub fn look(
         &mut self,
         now: Micros,
-        proxies: &BTreeMap<Proc, (Micros, &Cells)>,
+        proxies: &BTreeMap<Proc, (Micros, &ItemSet)>,
         core: Micros,
         halted: Micros,
     ) {
@@ -333,6 +334,6 @@
     }
 }
 
-fn has(cells: &Cells, what: &[(Key, u64)]) -> bool {
-    what.iter().all(|(key, version)| cells.get(key).is_some_and(|item| item.version.0 >= *version))
+fn has(cells: &ItemSet, what: &[(Key, u64)]) -> bool {
+    what.iter().all(|(key, version)| cells.get(key).is_some_and(|item| item.version.revision >= *version))
 }
--- a/crates/smoker/src/contact.rs
+++ b/crates/smoker/src/contact.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pinerelay_propolis::speech::Role;
+use pinerelay_peer_link::message::Role;
 
 use crate::check::CONTACT;
 use crate::plan::Micros;
@@ -90,7 +90,7 @@
     fn leads_to_current(&self, proc: Proc, (connection, end): (usize, usize)) -> bool {
         let line = &self.net.connections[connection];
         let (other, life, _) = line.ends[1 - end];
-        if self.places.role(other) != Role::Scout || !self.runs(other, life) || line.closed != [false; 2] {
+        if self.places.role(other) != Role::Registry || !self.runs(other, life) || line.closed != [false; 2] {
             return false;
         }
         let [here, there] = [proc, other].map(|proc| self.places.machine(proc));
@@ -117,7 +117,7 @@
     pub fn look_at_service(&mut self, proc: Proc) {
         let process = &mut self.procs[proc];
         let Some(Body::Proxy(hearing)) = &process.body else { return };
-        let basis = match (hearing.whole(), hearing.unconfirmed()) {
+        let basis = match (hearing.can_serve(), hearing.serves_unconfirmed()) {
             (false, _) => None,
             (true, true) => Some(Basis::Unconfirmed),
             (true, false) => Some(Basis::Confirmed),
--- a/crates/smoker/src/disk.rs
+++ b/crates/smoker/src/disk.rs
@@ -1,7 +1,7 @@
 //! The stores' disks: what is safe, what a loss of power may take, and when they stall or refuse.
 
-use pinerelay_cells::Key;
-use pinerelay_dance::voter::{Change, Kept};
+use pinerelay_config_state::Key;
+use pinerelay_consensus::{PersistentState, StateChange};
 
 use crate::plan::{Lot, Micros};
 
@@ -15,12 +15,12 @@
 #[derive(Default)]
 pub struct Disk {
     /// What is safe.
-    kept: Option<Kept>,
+    kept: Option<PersistentState>,
     /// Transactions that a process which has ended had written and not synced: the next one reads them, and its first
     /// sync makes them safe; a loss of power may take them.
-    cached: Vec<Change>,
+    cached: Vec<StateChange>,
     /// What was given to it and is not safe yet.
-    unwritten: Vec<(u64, Change)>,
+    unwritten: Vec<(u64, StateChange)>,
     /// So many of them are on their way.
     syncing: usize,
     /// It answers nothing until then.
@@ -38,7 +38,7 @@
     }
 
     /// Takes a change, behind all before.
-    pub fn give(&mut self, number: u64, change: Change) {
+    pub fn give(&mut self, number: u64, change: StateChange) {
         self.unwritten.push((number, change));
     }
 
@@ -55,7 +55,8 @@
     pub fn synced(&mut self) -> Vec<u64> {
         let kept = self.kept.get_or_insert_default();
         self.cached.drain(..).for_each(|change| apply(kept, &change, self.forgets));
-        let done: Vec<(u64, Change)> = self.unwritten.drain(..std::mem::take(&mut self.syncing)).collect();
+        let done: Vec<(u64, StateChange)> =
+            self.unwritten.drain(..std::mem::take(&mut self.syncing)).collect();
         let numbers = done.iter().map(|(number, _)| *number).collect();
         done.into_iter().for_each(|(_, change)| apply(kept, &change, self.forgets));
         numbers
@@ -92,7 +93,7 @@
     }
 
     /// What a process that begins finds; none: the disk is empty.
-    pub fn read(&self) -> Option<Kept> {
+    pub fn read(&self) -> Option<PersistentState> {
         if self.cached.is_empty() {
             return self.kept.clone();
         }
@@ -104,17 +105,17 @@
     /// The newest revision of an item that is safe here, settled or pending.
     pub fn holds(&self, key: &Key) -> Option<u64> {
         let kept = self.kept.as_ref()?;
-        let settled = kept.cells.binary_search_by(|item| item.key.cmp(key)).ok();
-        let settled = settled.map(|n| kept.cells[n].version.0);
+        let settled = kept.items.binary_search_by(|item| item.key.cmp(key)).ok();
+        let settled = settled.map(|n| kept.items[n].version.revision);
         let pending = kept.pending.iter().flat_map(|batch| &batch.items).filter(|item| item.key == *key);
-        settled.max(pending.map(|item| item.version.0).max())
+        settled.max(pending.map(|item| item.version.revision).max())
     }
 }
 
 /// Puts a change on top of what is kept. The items stay in the order of their keys.
-fn apply(kept: &mut Kept, change: &Change, forgets: bool) {
-    kept.write(change);
+fn apply(kept: &mut PersistentState, change: &StateChange, forgets: bool) {
+    kept.apply(change);
     if forgets {
-        kept.cells.retain(|item| item.value.is_some());
+        kept.items.retain(|item| item.value.is_some());
     }
 }
--- a/crates/smoker/src/faults.rs
+++ b/crates/smoker/src/faults.rs
@@ -1,6 +1,6 @@
 //! What goes wrong by lot: never more at once than is tolerated, and at the worst moments.
 
-use pinerelay_cells::Cells;
+use pinerelay_config_state::ItemSet;
 
 use crate::plan::{Broken, Micros, SECOND};
 use crate::process::Proc;
@@ -293,7 +293,7 @@
                     self.kill(proc, false);
                     self.start(proc, false);
                     self.ledger.remember(proc, seen);
-                    self.ledger.configured(self.now, proc, &Cells::default(), &mut self.figures);
+                    self.ledger.configured(self.now, proc, &ItemSet::default(), &mut self.figures);
                     self.net.machines[machine].trouble = self.now;
                 }
                 0 => {
--- a/crates/smoker/src/figures.rs
+++ b/crates/smoker/src/figures.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use pinerelay_propolis::speech::{self, Speech};
+use pinerelay_peer_link::codec;
+use pinerelay_peer_link::message::PeerMessage;
 
 use crate::check::Invariant;
 use crate::plan::{Micros, SECOND};
@@ -38,8 +39,8 @@
     }
 
     /// A message was said to so many.
-    pub fn said(&mut self, speech: &Speech, to: usize, change: bool) {
-        let bytes = speech::write(speech).len() * to;
+    pub fn said(&mut self, speech: &PeerMessage, to: usize, change: bool) {
+        let bytes = codec::encode(speech).len() * to;
         self.bytes.entry(kind(speech)).or_default()[usize::from(change)] += bytes as u64;
     }
 
@@ -66,18 +67,18 @@
     }
 }
 
-fn kind(speech: &Speech) -> &'static str {
+fn kind(speech: &PeerMessage) -> &'static str {
     match speech {
-        Speech::News(_) => "news",
-        Speech::Digest(_) => "digest",
-        Speech::Mend { .. } => "mend",
-        Speech::Hold { .. } | Speech::Held(_) => "hold",
-        Speech::Beats(_) => "beats",
-        Speech::Standing(_) | Speech::StoreStands { .. } => "standing",
-        Speech::Fence(_) => "fence",
-        Speech::Draw(_) | Speech::Drawn(_) => "units",
-        Speech::Store(_) => "stores",
-        Speech::Pass(..) | Speech::Answer(..) => "calls",
+        PeerMessage::Update(_) => "news",
+        PeerMessage::Digests(_) => "digest",
+        PeerMessage::Sync { .. } => "mend",
+        PeerMessage::Replicate { .. } | PeerMessage::Replicated(_) => "hold",
+        PeerMessage::HeartbeatsSeen(_) => "beats",
+        PeerMessage::RegistryStatus(_) | PeerMessage::StoreStatus { .. } => "standing",
+        PeerMessage::Duty(_) => "fence",
+        PeerMessage::LeaseRequests(_) | PeerMessage::LeaseGrants(_) => "units",
+        PeerMessage::Consensus(_) => "stores",
+        PeerMessage::ForwardCall(..) | PeerMessage::CallReply(..) => "calls",
         _ => "other",
     }
 }
--- a/crates/smoker/src/links.rs
+++ b/crates/smoker/src/links.rs
@@ -2,11 +2,14 @@
 
 use std::rc::Rc;
 
-use pinerelay_cells::call;
-use pinerelay_dance::{Membership, Word as StoreWord};
-use pinerelay_nectar::fence::Word;
-use pinerelay_nectar::purse::Grant;
-use pinerelay_propolis::speech::{self, Answered, Passed, Role, Speech, CURRENT};
+use pinerelay_admission::duty::DutyMessage;
+use pinerelay_admission::lease::LeaseGrant;
+use pinerelay_config_state::operator_call;
+use pinerelay_consensus::{Membership, Message as ConsensusMessage};
+use pinerelay_peer_link::codec;
+use pinerelay_peer_link::message::{
+    CallReply, ForwardedCall, PeerMessage, Role, TenantGrant, LEASE_DURATION,
+};
 
 use crate::net::{Connection, CONNECT};
 use crate::plan::{Broken, Micros, SECOND};
@@ -18,54 +21,64 @@
 
 impl World {
     /// A process says something on connections.
-    pub fn say(&mut self, proc: Proc, peers: &[Peer], mut speech: Speech) {
+    pub fn say(&mut self, proc: Proc, peers: &[Peer], mut speech: PeerMessage) {
         if !self.plan.faults && self.now > 6 * SECOND && self.now < self.plan.calm_from() {
             let change = self.changes();
             self.figures.said(&speech, peers.len(), change);
         }
         let broken = self.plan.broken;
         let back = match &mut speech {
-            Speech::Digest(_) if broken == Some(Broken::Digests) => return,
-            Speech::Store(StoreWord::Digest { incarnation, .. }) if broken == Some(Broken::Copies) => {
+            PeerMessage::Digests(_) if broken == Some(Broken::Digests) => return,
+            PeerMessage::Consensus(ConsensusMessage::Heartbeat { incarnation, .. })
+                if broken == Some(Broken::Copies) =>
+            {
                 *incarnation = incarnation.filter(|n| *n == 0);
                 None
             }
-            Speech::Hold { number, .. } if broken == Some(Broken::Hold) => Some(Speech::Held(*number)),
-            Speech::Fence(Word::Claim { turn, .. }) if broken == Some(Broken::Fence) => {
-                Some(Speech::Fence(Word::Promised { turn: *turn, slices: ALL }))
+            PeerMessage::Replicate { number, .. } if broken == Some(Broken::Hold) => {
+                Some(PeerMessage::Replicated(*number))
             }
-            Speech::StoreStands { membership, .. } if broken == Some(Broken::Quorum) => {
+            PeerMessage::Duty(DutyMessage::Claim { claim, .. }) if broken == Some(Broken::Fence) => {
+                Some(PeerMessage::Duty(DutyMessage::Promise { claim: *claim, slices: ALL }))
+            }
+            PeerMessage::StoreStatus { membership, .. } if broken == Some(Broken::Quorum) => {
                 // The registries' duties are not meant.
                 *membership = Membership::first((0..self.plan.cores.min(3)).map(|core| self.places.ip(core)));
                 None
             }
-            Speech::Store(StoreWord::Promise { pending, .. }) if broken == Some(Broken::Pending) => {
+            PeerMessage::Consensus(ConsensusMessage::Promise { pending, .. })
+                if broken == Some(Broken::Pending) =>
+            {
                 *pending = None;
                 None
             }
-            Speech::Answer(_, answered) if broken == Some(Broken::Judge) && answered.status == 409 => {
-                *answered = Answered { status: 200, body: "{}".into() };
+            PeerMessage::CallReply(_, answered)
+                if broken == Some(Broken::Judge) && answered.status == 409 =>
+            {
+                *answered = CallReply { status: 200, body: "{}".into() };
                 None
             }
-            Speech::Answer(_, answered) if broken == Some(Broken::Refuse) && answered.status == 503 => {
+            PeerMessage::CallReply(_, answered)
+                if broken == Some(Broken::Refuse) && answered.status == 503 =>
+            {
                 answered.status = 409;
                 None
             }
-            Speech::Answer(number, _) if broken == Some(Broken::Answers) && self.lot.chance(10) => {
+            PeerMessage::CallReply(number, _) if broken == Some(Broken::Answers) && self.lot.chance(10) => {
                 *number += 1;
                 None
             }
-            Speech::Standing(standing) if broken == Some(Broken::Whole) => {
-                (standing.whole, standing.majority, standing.current) = (true, true, true);
+            PeerMessage::RegistryStatus(standing) if broken == Some(Broken::Whole) => {
+                (standing.is_complete, standing.has_majority, standing.is_current) = (true, true, true);
                 None
             }
-            Speech::Confirmed { left, .. } if broken == Some(Broken::Leases) => {
-                *left = CURRENT;
+            PeerMessage::Current { lease_left: left, .. } if broken == Some(Broken::Leases) => {
+                *left = LEASE_DURATION;
                 None
             }
-            Speech::Drawn(grants) if broken == Some(Broken::Units) => {
-                for (_, grant) in grants {
-                    if let Grant::Block { units, .. } = grant {
+            PeerMessage::LeaseGrants(grants) if broken == Some(Broken::Units) => {
+                for TenantGrant { grant, .. } in grants {
+                    if let LeaseGrant::Units { units, .. } = grant {
                         *units *= 2.0;
                     }
                 }
@@ -74,9 +87,9 @@
             _ => None,
         };
         let unsaid = match &speech {
-            Speech::News(_) => broken == Some(Broken::News),
-            Speech::Mend { items, .. } => !items.is_empty() && broken == Some(Broken::News),
-            Speech::Confirmed { .. } => broken == Some(Broken::Confirmations),
+            PeerMessage::Update(_) => broken == Some(Broken::News),
+            PeerMessage::Sync { items, .. } => !items.is_empty() && broken == Some(Broken::News),
+            PeerMessage::Current { .. } => broken == Some(Broken::Confirmations),
             _ => false,
         };
         let said = Rc::new(speech);
@@ -87,12 +100,12 @@
                 continue;
             }
             let other = self.net.connections[connection].ends[1 - end].0;
-            if unsaid && self.places.role(other) == Role::Forager {
+            if unsaid && self.places.role(other) == Role::Proxy {
                 continue;
             }
             let way = [self.places.machine(proc), self.places.machine(other)];
             let at =
-                self.net.send(self.now, &mut self.lot, (connection, end), way, || speech::write(&said).len());
+                self.net.send(self.now, &mut self.lot, (connection, end), way, || codec::encode(&said).len());
             self.at(at, Event::Came(connection, 1 - end, Coming::Said(said.clone())));
         }
     }
@@ -165,26 +178,31 @@
     }
 
     /// Answers a read from a store's own copy, where that is put in; tells whether it did.
-    fn reads_alone(&mut self, proc: Proc, peer: Peer, speech: &Speech) -> bool {
+    fn reads_alone(&mut self, proc: Proc, peer: Peer, speech: &PeerMessage) -> bool {
         let Some(Body::Store(desk)) = &self.procs[proc].body else { return false };
-        let Speech::Pass(number, Passed::Read) = speech else { return false };
+        let PeerMessage::ForwardCall(number, ForwardedCall::Read) = speech else { return false };
         if self.plan.broken != Some(Broken::OwnRead) {
             return false;
         }
-        let answered = Answered { status: 200, body: call::write(desk.store().cells()) };
-        self.say(proc, &[peer], Speech::Answer(*number, answered));
+        let answered =
+            CallReply { status: 200, body: operator_call::render_configuration(desk.store().items()) };
+        self.say(proc, &[peer], PeerMessage::CallReply(*number, answered));
         true
     }
 
     /// Has a registry confirm that it is current whatever it knows, where that is put in; tells whether it did.
-    fn confirms_always(&mut self, proc: Proc, peer: Peer, speech: &Speech) -> bool {
+    fn confirms_always(&mut self, proc: Proc, peer: Peer, speech: &PeerMessage) -> bool {
         let Some(Body::Scout(registry)) = &self.procs[proc].body else { return false };
-        let Speech::Confirm(asked) = speech else { return false };
+        let PeerMessage::ConfirmCurrent(asked) = speech else { return false };
         if self.plan.broken != Some(Broken::Whole) {
             return false;
         }
         let digest = registry.realms()[0].digest();
-        self.say(proc, &[peer], Speech::Confirmed { asked: *asked, epoch: 0, digest, left: CURRENT });
+        self.say(
+            proc,
+            &[peer],
+            PeerMessage::Current { asked_at: *asked, epoch: 0, digest, lease_left: LEASE_DURATION },
+        );
         true
     }
 
--- a/crates/smoker/src/look.rs
+++ b/crates/smoker/src/look.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pinerelay_cells::{judge, Kind};
+use pinerelay_config_state::{validation, Kind};
 
 use crate::check::{Invariant, HEALED};
 use crate::plan::{Micros, SECOND};
@@ -22,7 +22,7 @@
             if process.frozen > self.now {
                 continue;
             }
-            let acts = registry.acts_for(process.clock(self.now));
+            let acts = registry.held_slices(process.clock(self.now));
             if held & acts != 0 {
                 self.ledger.broken(Invariant::OneDuty, format!("{:016b} are held twice", held & acts));
             }
@@ -53,7 +53,7 @@
         let lacks =
             match [self.places.store(core), self.places.scout(core)].map(|proc| &self.procs[proc].body) {
                 [Some(Body::Store(desk)), Some(Body::Scout(registry))] => {
-                    let copies = [desk.store().cells(), &registry.realms()[0]];
+                    let copies = [desk.store().items(), &registry.realms()[0]];
                     copies.into_iter().find_map(|cells| self.ledger.lacks(before, cells))
                 }
                 _ => Some("all: it does not run".into()),
@@ -84,15 +84,15 @@
             match &process.body {
                 Some(Body::Store(desk)) => {
                     let named = desk.store().membership().names().contains(&self.places.ip(proc / 2));
-                    if !desk.store().whole() || named && !desk.store().votes() {
-                        let (whole, votes) = (desk.store().whole(), desk.store().votes());
+                    if !desk.store().is_complete() || named && !desk.store().is_voter() {
+                        let (whole, votes) = (desk.store().is_complete(), desk.store().is_voter());
                         let who = desk.store().membership();
                         return Some(format!(
                             "store {proc}: whole {whole}, votes {votes}, as it knows: {who:?}"
                         ));
                     }
-                    digests[0].insert(desk.store().cells().digest());
-                    if let Err(unfit) = judge::together(desk.store().cells()) {
+                    digests[0].insert(desk.store().items().digest());
+                    if let Err(unfit) = validation::check_references(desk.store().items()) {
                         return Some(format!("store {proc}: {unfit}"));
                     }
                 }
@@ -105,9 +105,9 @@
                     digests.iter_mut().zip(hearing.realms()).for_each(|(all, cells)| {
                         all.insert(cells.digest());
                     });
-                    let routes = hearing.realms()[0].standing(Kind::Route).next().is_some();
+                    let routes = hearing.realms()[0].live(Kind::Route).next().is_some();
                     let servers = self.ledger.servers(proc);
-                    if !hearing.whole() || !routes || servers == 0 {
+                    if !hearing.can_serve() || !routes || servers == 0 {
                         return Some(format!("proxy {proc} is not ready: {servers} servers"));
                     }
                 }
