--- a/crates/smoker/src/orders.rs
+++ b/crates/smoker/src/orders.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pinerelay_cells::item::Version;
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{Cells, Item, Key, Kind};
-use pinerelay_propolis::speech::Role;
+use pinerelay_config_state::item::Version;
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::{Item, ItemSet, Key, Kind};
+use pinerelay_peer_link::message::Role;
 
 use crate::check::{Invariant, CONTACT};
 use crate::outside::What;
@@ -55,7 +55,7 @@
     ) -> Option<String> {
         let mut broken = None;
         for item in items {
-            let (key, revision) = (item.key.clone(), item.version.0);
+            let (key, revision) = (item.key.clone(), item.version.revision);
             let first = *self.confirmed.entry((key.clone(), revision)).or_insert(item.version);
             // One that a higher revision has overtaken has no effect, whatever it holds.
             if first != item.version && newest(&key).is_none_or(|newest| newest <= revision) {
@@ -78,16 +78,16 @@
     /// Whether it was confirmed that an item is set under a revision.
     pub fn was_set(&self, key: &Key, revision: u64) -> bool {
         let confirmed = self.confirmed.get(&(key.clone(), revision));
-        confirmed.is_some_and(|confirmed| confirmed.1 != DROPPED)
+        confirmed.is_some_and(|confirmed| confirmed.tie_breaker != DROPPED)
     }
 
     /// A read has another content than the one confirmed.
-    pub fn differs(&self, stands: &Cells) -> Option<String> {
+    pub fn differs(&self, stands: &ItemSet) -> Option<String> {
         let other = |item: &&Item| {
-            let confirmed = self.confirmed.get(&(item.key.clone(), item.version.0));
+            let confirmed = self.confirmed.get(&(item.key.clone(), item.version.revision));
             confirmed.is_some_and(|confirmed| *confirmed != item.version)
         };
-        let item = stands.all().find(other)?;
+        let item = stands.iter().find(other)?;
         Some(format!("a read has another content of {:?} than was confirmed", item.key))
     }
 }
@@ -97,7 +97,7 @@
     fn newest(&self, key: &Key) -> Option<u64> {
         let here = |core: usize| {
             let there = match &self.procs[self.places.store(core)].body {
-                Some(Body::Store(desk)) => desk.store().cells().get(key).map(|item| item.version.0),
+                Some(Body::Store(desk)) => desk.store().items().get(key).map(|item| item.version.revision),
                 _ => None,
             };
             there.max(self.disks[core].holds(key))
@@ -118,8 +118,9 @@
         }
         match &asked.what {
             What::Update(_, items) if status == 200 => {
-                let absent =
-                    items.iter().find(|item| self.newest(&item.key).is_none_or(|n| n < item.version.0));
+                let absent = items
+                    .iter()
+                    .find(|item| self.newest(&item.key).is_none_or(|n| n < item.version.revision));
                 if let Some(item) = absent {
                     let what = format!("an order is taken, and no store has {:?}", item.key);
                     self.ledger.broken(Invariant::WhoseAnswer, what);
@@ -148,7 +149,7 @@
             What::Read(floor) if status == 200 && body == "{}" && !floor.is_empty() => {
                 self.ledger.broken(Invariant::WhoseAnswer, "a read is answered as an order is".into());
             }
-            What::Leave(place, life) | What::Beat(place, life, State::Draining) if status == 200 => {
+            What::Leave(place, life) | What::Beat(place, life, ServerState::Draining) if status == 200 => {
                 let id = format!("i-{place}-{life}");
                 if !self.known_elsewhere(self.places.machine(proc), &id) {
                     let what = format!("the leaving of {id} is confirmed, and nobody else knows of it");
@@ -177,7 +178,7 @@
             What::Update(..) => "an order",
             What::Read(..) => "a read",
             // What others know is not lost with this one.
-            What::Leave(place, life) | What::Beat(place, life, State::Draining) => {
+            What::Leave(place, life) | What::Beat(place, life, ServerState::Draining) => {
                 if self.known_elsewhere(machine, &format!("i-{place}-{life}")) {
                     return;
                 }
@@ -201,12 +202,12 @@
         let mut others = others.filter_map(|proc| self.procs[proc].body.as_ref());
         others.any(|body| {
             let servers = match body {
-                Body::Store(desk) => desk.hive(),
+                Body::Store(desk) => desk.runtime_items(),
                 Body::Scout(registry) => &registry.realms()[1],
                 Body::Proxy(hearing) => &hearing.realms()[1],
             };
-            let server = servers.get(&key).map(|item| item.value.as_deref().and_then(Server::read));
-            server.is_some_and(|server| server.is_none_or(|server| server.state != State::Ready))
+            let server = servers.get(&key).map(|item| item.value.as_deref().and_then(Server::decode));
+            server.is_some_and(|server| server.is_none_or(|server| server.state != ServerState::Ready))
         })
     }
 
@@ -215,7 +216,7 @@
     pub fn copies(&mut self) {
         let voters = self.voters();
         let whole = |core: &usize| match &self.procs[self.places.store(*core)].body {
-            Some(Body::Store(desk)) => desk.store().votes(),
+            Some(Body::Store(desk)) => desk.store().is_voter(),
             _ => false,
         };
         let repaired: Vec<usize> = self.wiped.keys().copied().filter(whole).collect();
@@ -247,7 +248,7 @@
 
     /// The machines whose stores vote, by the newest word that was looked at.
     pub fn voting_machines(&self) -> Vec<usize> {
-        let machine = |ip: String| Some(self.places.machine(self.places.at(&ip, Role::Comb)?));
+        let machine = |ip: String| Some(self.places.machine(self.places.at(&ip, Role::ConfigStore)?));
         self.voting.names().into_iter().filter_map(machine).collect()
     }
 }
--- a/crates/smoker/src/outside.rs
+++ b/crates/smoker/src/outside.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use pinerelay_cells::call;
-use pinerelay_cells::server::{Beat, Server, State};
-use pinerelay_cells::{Item, Key};
-use pinerelay_forager::hearing::Output as Heard;
-use pinerelay_nectar::purse::Admission;
-use pinerelay_nectar::terms::Quota;
-use pinerelay_scout::dispatch::Call as Rpc;
+use pinerelay_admission::lease_cache::{Admission, Decision};
+use pinerelay_admission::quota::Quota;
+use pinerelay_config_state::operator_call;
+use pinerelay_config_state::server::{Heartbeat, Server, ServerState};
+use pinerelay_config_state::{Item, Key};
+use pinerelay_proxy::subscriber::Output as Heard;
+use pinerelay_registry::control_call::ControlCall;
 
 use crate::orders::Asked;
 use crate::plan::{Lot, Micros, SECOND};
@@ -34,7 +34,7 @@
     /// A read, and what had been acknowledged before.
     Read(BTreeMap<Key, u64>),
     /// A server tells of itself.
-    Beat(usize, u64, State),
+    Beat(usize, u64, ServerState),
     /// A server leaves.
     Leave(usize, u64),
 }
@@ -51,7 +51,7 @@
 /// An app server's place; each start is a new life.
 struct Place {
     life: u64,
-    state: State,
+    state: ServerState,
     calls: u64,
     core: usize,
 }
@@ -74,7 +74,7 @@
 impl Outside {
     /// So many servers, none of them started.
     pub fn new(servers: usize) -> Outside {
-        let place = |n| Place { life: 0, state: State::Gone, calls: 0, core: n };
+        let place = |n| Place { life: 0, state: ServerState::Gone, calls: 0, core: n };
         Outside {
             calls: BTreeMap::new(),
             last: 0,
@@ -170,13 +170,13 @@
         self.outside.with.insert((proc, life, number), asked);
         let server = |place: usize, life: u64| format!("i-{place}-{life}");
         let call = match what {
-            What::Update(body, _) => Rpc::Update(body),
-            What::Read(_) => Rpc::Read,
-            What::Leave(place, life) => Rpc::Leave(server(place, life)),
+            What::Update(body, _) => ControlCall::Update(body),
+            What::Read(_) => ControlCall::Read,
+            What::Leave(place, life) => ControlCall::Leave { id: server(place, life) },
             What::Beat(place, life, state) => {
                 let calls = self.outside.places[place].calls;
-                let beat = Beat { server: told(place, state), calls };
-                Rpc::Beat(server(place, life), beat)
+                let beat = Heartbeat { server: told(place, state), call_count: calls };
+                ControlCall::Heartbeat { id: server(place, life), heartbeat: beat }
             }
         };
         let Some(Body::Scout(registry)) = &mut self.procs[proc].body else { return };
@@ -227,7 +227,7 @@
             }
             What::Beat(place, life, state) => {
                 let here = &self.outside.places[*place];
-                if *state == State::Draining && here.life == *life {
+                if *state == ServerState::Draining && here.life == *life {
                     if status == 200 {
                         self.figures.count("drains");
                         self.ledger.leaves(self.now, &format!("i-{place}-{life}"));
@@ -269,7 +269,7 @@
         let core = self.any_core();
         if !self.outside.first {
             if operator == 0 {
-                let items = call::read(first().as_bytes()).unwrap_or_default();
+                let items = operator_call::parse_update(first().as_bytes()).unwrap_or_default();
                 return self.ask(What::Update(first().into_bytes(), items), Some(operator), core);
             }
             return self.later(SECOND, Event::Operator(operator));
@@ -282,7 +282,7 @@
         }
         self.outside.revision += 1;
         let text = change(&mut self.lot, self.outside.revision);
-        let items = call::read(text.as_bytes()).unwrap_or_default();
+        let items = operator_call::parse_update(text.as_bytes()).unwrap_or_default();
         self.ledger.called(&items);
         self.ask(What::Update(text.into_bytes(), items), Some(operator), core);
     }
@@ -308,7 +308,7 @@
     fn order(&mut self, text: &str, core: usize) {
         // One sent again before the first order of all is none.
         if self.outside.first {
-            let items = call::read(text.as_bytes()).unwrap_or_default();
+            let items = operator_call::parse_update(text.as_bytes()).unwrap_or_default();
             self.ledger.called(&items);
             self.ask(What::Update(text.as_bytes().to_vec(), items), None, core);
         }
@@ -327,7 +327,7 @@
         let here = &mut self.outside.places[place];
         here.life += 1;
         here.calls = 0;
-        here.state = State::Ready;
+        here.state = ServerState::Ready;
         let life = here.life;
         here.core = core;
         self.later(0, Event::Beat(place, life));
@@ -336,12 +336,12 @@
     /// A server's next beat.
     pub fn beat(&mut self, place: usize, life: u64) {
         let here = &self.outside.places[place];
-        if here.life != life || here.state == State::Gone {
+        if here.life != life || here.state == ServerState::Gone {
             return;
         }
         let (core, state) = (here.core, here.state);
         self.ask(What::Beat(place, life, state), None, core);
-        if state == State::Ready {
+        if state == ServerState::Ready {
             let pause = HEARTBEAT - 50_000 + self.lot.upto(100_000);
             self.later(pause, Event::Beat(place, life));
         }
@@ -350,10 +350,10 @@
     /// A server leaves.
     pub fn leave(&mut self, place: usize, life: u64) {
         let here = &mut self.outside.places[place];
-        if here.life != life || here.state == State::Gone {
+        if here.life != life || here.state == ServerState::Gone {
             return;
         }
-        here.state = State::Gone;
+        here.state = ServerState::Gone;
         let core = here.core;
         self.ask(What::Leave(place, life), None, core);
         let pause = self.lot.within(SECOND, 3 * SECOND);
@@ -366,15 +366,15 @@
             let place = self.lot.upto(self.outside.places.len() as u64) as usize;
             let crashes = self.lot.chance(3);
             let here = &mut self.outside.places[place];
-            if here.state == State::Ready {
+            if here.state == ServerState::Ready {
                 let life = here.life;
                 if crashes {
-                    here.state = State::Gone;
+                    here.state = ServerState::Gone;
                     self.figures.count("crashes");
                     let pause = self.lot.within(SECOND, 6 * SECOND);
                     self.later(pause, Event::Starts(place));
                 } else {
-                    here.state = State::Draining;
+                    here.state = ServerState::Draining;
                     self.later(0, Event::Beat(place, life));
                 }
             }
@@ -385,7 +385,7 @@
 
     /// How many servers take requests.
     pub fn serving(&self) -> usize {
-        self.outside.places.iter().filter(|place| place.state == State::Ready).count()
+        self.outside.places.iter().filter(|place| place.state == ServerState::Ready).count()
     }
 
     /// A client of a tenant asks at some proxy.
@@ -410,25 +410,25 @@
         let now = process.clock(self.now);
         let name = QUOTAS[tenant].0;
         let known = process.table.as_ref().and_then(|t| t.tenants().iter().find(|t| t.name == name).cloned());
-        let (Some(known), Some(Body::Proxy(hearing))) = (known, &mut process.body) else { return };
+        let (Some(known), Some(Body::Proxy(subscriber))) = (known, &mut process.body) else { return };
         self.outside.requests += 1;
         let id = self.outside.requests;
         let mut wants = Vec::new();
         let quota = Quota { rate: known.rate, burst: known.burst };
-        let admission = hearing.purse.arrive(now, name, quota, id);
-        hearing.ask(now, &mut wants);
+        let admission = subscriber.admit(now, name, quota, id, &mut wants);
         self.outside.waiting.insert(id, tenant);
-        if admission != Admission::Wait {
-            wants.push(Heard::Admitted(id, admission));
+        if admission != Admission::Waiting {
+            wants.push(Heard::Decided(Decision { id, admission }));
         }
         self.carry_out(proc, wants.into_iter().map(Output::from).collect());
     }
 
     /// What has become of a request.
-    pub fn admitted(&mut self, id: u64, admission: Admission) {
+    pub fn admitted(&mut self, decision: Decision) {
+        let Decision { id, admission } = decision;
         let Some(tenant) = self.outside.waiting.remove(&id) else { return };
         let (name, rate, burst) = QUOTAS[tenant];
-        if admission == Admission::Go {
+        if admission == Admission::Admitted {
             self.ledger.ran(self.now, name, rate, burst);
             if tenant == 0 && self.measured() {
                 self.figures.usable[0] += 1.0;
@@ -437,7 +437,7 @@
     }
 }
 
-fn told(place: usize, state: State) -> Server {
+fn told(place: usize, state: ServerState) -> Server {
     let address =
         std::net::SocketAddrV4::new([10, 128, (place / 250) as u8, (place % 250) as u8].into(), 8080);
     Server {
--- a/crates/smoker/src/plan.rs
+++ b/crates/smoker/src/plan.rs
@@ -1,6 +1,6 @@
 //! What is played: a seed, a size, and what of the gateway's behaviour is broken on purpose.
 
-use pinerelay_cells::hash::mix;
+use pinerelay_config_state::hash::mix64;
 
 use crate::check::Invariant;
 use crate::scenarios::Scenario;
@@ -18,7 +18,7 @@
     /// One of 0 to `most` - 1.
     pub fn upto(&mut self, most: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.0) % most.max(1)
+        mix64(self.0) % most.max(1)
     }
 
     /// One in so many times.
--- a/crates/smoker/src/process.rs
+++ b/crates/smoker/src/process.rs
@@ -3,21 +3,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use pinerelay_cells::routes::Table;
-use pinerelay_comb::desk::{self, Desk};
-use pinerelay_dance::store::Birth as StoreBirth;
-use pinerelay_dance::voter::{Change, Kept};
-use pinerelay_forager::hearing::{self, Hearing};
-use pinerelay_nectar::terms::Bounds;
-use pinerelay_propolis::speech::{Hello, Role, Speech};
-use pinerelay_scout::registry::{self, Registry};
+use pinerelay_admission::quota::QuotaBounds;
+use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_config_store::service::{self, StoreService};
+use pinerelay_consensus::StoreConfig as StoreBirth;
+use pinerelay_consensus::{PersistentState, StateChange};
+use pinerelay_peer_link::message::{Hello, PeerMessage, Role};
+use pinerelay_proxy::subscriber::{self, Subscriber};
+use pinerelay_registry::registry::{self, Registry};
 
 use crate::plan::{Broken, Micros, Plan, SECOND};
 
 /// A process's number: two for each machine of the core, then one for each proxy.
 pub type Proc = usize;
 /// A connection as its process calls it.
-pub type Peer = pinerelay_propolis::link::Peer;
+pub type Peer = pinerelay_peer_link::link::ConnectionId;
 
 /// How often servers tell of themselves.
 pub const HEARTBEAT: Micros = 1_500_000;
@@ -87,9 +87,9 @@
     /// What it runs.
     pub fn role(self, proc: Proc) -> Role {
         match proc {
-            p if p >= 2 * self.cores => Role::Forager,
-            p if p % 2 == 0 => Role::Comb,
-            _ => Role::Scout,
+            p if p >= 2 * self.cores => Role::Proxy,
+            p if p % 2 == 0 => Role::ConfigStore,
+            _ => Role::Registry,
         }
     }
 
@@ -101,7 +101,7 @@
     /// The process of a role at an address.
     pub fn at(self, ip: &str, role: Role) -> Option<Proc> {
         let core = (0..self.cores).find(|&core| self.ip(core) == ip)?;
-        Some(if role == Role::Comb { self.store(core) } else { self.scout(core) })
+        Some(if role == Role::ConfigStore { self.store(core) } else { self.scout(core) })
     }
 }
 
@@ -125,25 +125,25 @@
 /// A state machine.
 pub enum Body {
     /// Of a store.
-    Store(Box<Desk>),
+    Store(Box<StoreService>),
     /// Of a registry.
     Scout(Box<Registry>),
     /// Of a proxy.
-    Proxy(Box<Hearing>),
+    Proxy(Box<Subscriber>),
 }
 
 /// What any of them wants done.
 pub enum Output {
     /// Say this on these connections.
-    Say(Vec<Peer>, Speech),
+    Say(Vec<Peer>, PeerMessage),
     /// Cut a connection.
     Cut(Peer),
     /// Write this.
-    Write(u64, Change),
+    Write(u64, StateChange),
     /// Answer a call from outside.
     Answer(u64, u16, String),
     /// Of a proxy.
-    Proxy(hearing::Output),
+    Proxy(subscriber::Output),
 }
 
 /// What a link, a disk or the clock tells a process.
@@ -151,7 +151,7 @@
     /// A connection has come up.
     Up(Peer),
     /// Something was said.
-    Said(Peer, Speech),
+    Said(Peer, PeerMessage),
     /// A connection has gone.
     Down(Peer),
     /// A change is on disk.
@@ -167,79 +167,79 @@
         places: Places,
         proc: Proc,
         told: Told,
-        mut kept: Option<Kept>,
+        mut kept: Option<PersistentState>,
         out: &mut Vec<Output>,
     ) -> Body {
         let Told { life, wall, first, seeds } = told;
         let machine = places.machine(proc);
         let ip = places.ip(machine);
         let role = places.role(proc);
-        let hello = Hello { node: format!("{role:?}-{machine}"), ip: ip.clone(), role, life };
+        let hello = Hello { node: format!("{role:?}-{machine}"), ip: ip.clone(), role, process_id: life };
         match role {
-            Role::Comb => {
+            Role::ConfigStore => {
                 let alone = plan.broken == Some(Broken::Quorum);
                 let birth = StoreBirth {
-                    me: ip.clone(),
-                    life,
-                    losses: usize::from(!alone),
-                    first,
+                    name: ip.clone(),
+                    process_id: life,
+                    tolerated_losses: usize::from(!alone),
+                    first_start: first,
                     seeds: if alone { vec![ip] } else { seeds },
                 };
                 if let Some(kept) = kept.as_mut().filter(|_| plan.broken == Some(Broken::Ballots)) {
-                    kept.at = Default::default();
+                    kept.accepted = Default::default();
                 }
                 let mut first = Vec::new();
-                let body = Body::Store(Box::new(Desk::new(wall, hello, birth, kept, &mut first)));
+                let body = Body::Store(Box::new(StoreService::new(wall, hello, birth, kept, &mut first)));
                 out.extend(first.into_iter().map(Output::from));
                 body
             }
-            Role::Scout => Body::Scout(Box::new(Registry::new(
+            Role::Registry => Body::Scout(Box::new(Registry::new(
                 0,
-                registry::Birth {
+                registry::RegistryConfig {
                     hello,
-                    first,
-                    wall,
-                    heartbeat: HEARTBEAT,
-                    bounds: Bounds::default(),
+                    first_start: first,
+                    time_of_day: wall,
+                    heartbeat_interval: HEARTBEAT,
+                    quota_bounds: QuotaBounds::default(),
                     seeds,
                 },
             ))),
-            _ => Body::Proxy(Box::new(Hearing::new(wall * SECOND, hello, seeds))),
+            _ => Body::Proxy(Box::new(Subscriber::new(wall * SECOND, hello, seeds))),
         }
     }
 
     /// Takes one input.
     pub fn on(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match self {
-            Body::Store(desk) => {
+            Body::Store(service) => {
                 let mut wants = Vec::new();
                 match input {
-                    Input::Up(peer) => desk.up(peer, &mut wants),
-                    Input::Said(peer, speech) => desk.said(now, peer, speech, &mut wants),
-                    Input::Down(peer) => desk.down(now, peer, &mut wants),
-                    Input::Written(number) => desk.written(now, number, &mut wants),
-                    Input::Tick => desk.tick(now, &mut wants),
+                    Input::Up(peer) => service.connected(peer, &mut wants),
+                    Input::Said(peer, speech) => service.receive(now, peer, speech, &mut wants),
+                    Input::Down(peer) => service.disconnected(now, peer, &mut wants),
+                    Input::Written(number) => service.write_completed(now, number, &mut wants),
+                    Input::Tick => service.tick(now, &mut wants),
                 }
                 out.extend(wants.into_iter().map(Output::from));
             }
             Body::Scout(registry) => {
                 let mut wants = Vec::new();
                 match input {
-                    Input::Up(peer) => registry.up(peer, &mut wants),
-                    Input::Said(peer, speech) => registry.said(now, peer, speech, &mut wants),
-                    Input::Down(peer) => registry.down(now, peer, &mut wants),
+                    Input::Up(peer) => registry.connected(peer, &mut wants),
+                    Input::Said(peer, speech) => registry.receive(now, peer, speech, &mut wants),
+                    Input::Down(peer) => registry.disconnected(now, peer, &mut wants),
                     Input::Tick => registry.tick(now, &mut wants),
                     Input::Written(_) => {}
                 }
                 out.extend(wants.into_iter().map(Output::from));
             }
-            Body::Proxy(hearing) => {
+            Body::Proxy(subscriber) => {
                 let mut wants = Vec::new();
                 match input {
-                    Input::Up(peer) => hearing.up(peer, &mut wants),
-                    Input::Said(peer, speech) => hearing.said(now, peer, speech, &mut wants),
-                    Input::Down(peer) => hearing.down(peer),
-                    Input::Tick => hearing.tick(now, &mut wants),
+                    Input::Up(peer) => subscriber.connected(peer, &mut wants),
+                    Input::Said(peer, speech) => subscriber.receive(now, peer, speech, &mut wants),
+                    Input::Down(peer) => subscriber.disconnected(peer),
+                    Input::Tick => subscriber.tick(now, &mut wants),
                     Input::Written(_) => {}
                 }
                 out.extend(wants.into_iter().map(Output::from));
@@ -250,11 +250,15 @@
     /// The processes that it wants links to.
     pub fn wanted(&self, places: Places) -> BTreeSet<Proc> {
         let all: Vec<Option<Proc>> = match self {
-            Body::Store(desk) => desk.store().others().iter().map(|ip| places.at(ip, Role::Comb)).collect(),
+            Body::Store(service) => {
+                service.store().peers().iter().map(|ip| places.at(ip, Role::ConfigStore)).collect()
+            }
             Body::Scout(registry) => {
-                registry.wanted().iter().map(|(ip, role)| places.at(ip, *role)).collect()
+                registry.wanted_links().iter().map(|(ip, role)| places.at(ip, *role)).collect()
+            }
+            Body::Proxy(subscriber) => {
+                subscriber.wanted_registries().iter().map(|ip| places.at(ip, Role::Registry)).collect()
             }
-            Body::Proxy(hearing) => hearing.wanted().iter().map(|ip| places.at(ip, Role::Scout)).collect(),
         };
         all.into_iter().flatten().collect()
     }
@@ -262,22 +266,22 @@
     /// How long its program waits between two ticks.
     pub fn pause(&self) -> Micros {
         match self {
-            Body::Store(desk) if desk.busy() => 25_000,
+            Body::Store(service) if service.is_busy() => 25_000,
             Body::Store(_) => 150_000,
             Body::Scout(_) => 100_000,
-            Body::Proxy(hearing) if hearing.purse.waiting() > 0 => 25_000,
+            Body::Proxy(subscriber) if subscriber.leases().waiting() > 0 => 25_000,
             Body::Proxy(_) => 75_000,
         }
     }
 }
 
-impl From<desk::Output> for Output {
-    fn from(output: desk::Output) -> Output {
+impl From<service::Output> for Output {
+    fn from(output: service::Output) -> Output {
         match output {
-            desk::Output::Say(peer, speech) => Output::Say(vec![peer], speech),
-            desk::Output::SayAll(peers, speech) => Output::Say(peers, speech),
-            desk::Output::Cut(peer) => Output::Cut(peer),
-            desk::Output::Write(number, change) => Output::Write(number, change),
+            service::Output::Send(peer, speech) => Output::Say(vec![peer], speech),
+            service::Output::Broadcast(peers, speech) => Output::Say(peers, speech),
+            service::Output::Close(peer) => Output::Cut(peer),
+            service::Output::Write { id: number, change } => Output::Write(number, change),
         }
     }
 }
@@ -285,19 +289,19 @@
 impl From<registry::Output> for Output {
     fn from(output: registry::Output) -> Output {
         match output {
-            registry::Output::Say(peer, speech) => Output::Say(vec![peer], speech),
-            registry::Output::SayAll(peers, speech) => Output::Say(peers, speech),
-            registry::Output::Cut(peer) => Output::Cut(peer),
+            registry::Output::Send(peer, speech) => Output::Say(vec![peer], speech),
+            registry::Output::Broadcast(peers, speech) => Output::Say(peers, speech),
+            registry::Output::Close(peer) => Output::Cut(peer),
             registry::Output::Answer(call, answered) => Output::Answer(call, answered.status, answered.body),
         }
     }
 }
 
-impl From<hearing::Output> for Output {
-    fn from(output: hearing::Output) -> Output {
+impl From<subscriber::Output> for Output {
+    fn from(output: subscriber::Output) -> Output {
         match output {
-            hearing::Output::Say(peer, speech) => Output::Say(vec![peer], speech),
-            hearing::Output::Cut(peer) => Output::Cut(peer),
+            subscriber::Output::Send(peer, speech) => Output::Say(vec![peer], speech),
+            subscriber::Output::Close(peer) => Output::Cut(peer),
             other => Output::Proxy(other),
         }
     }
@@ -341,7 +345,7 @@
     /// Whom it reaches for.
     pub dials: BTreeMap<Proc, Dial>,
     /// The table in force, of a proxy.
-    pub table: Option<Arc<Table>>,
+    pub table: Option<Arc<RoutingTable>>,
     /// By what right it serves its configuration, of a proxy; none: it does not serve yet.
     pub basis: Option<Basis>,
     /// Its last call from outside.
--- a/crates/smoker/src/world.rs
+++ b/crates/smoker/src/world.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pinerelay_cells::hash::mix;
-use pinerelay_cells::server::State;
-use pinerelay_cells::Cells;
-use pinerelay_dance::Membership;
-use pinerelay_forager::hearing::Output as Heard;
-use pinerelay_nectar::fence::SLICES;
-use pinerelay_propolis::speech::{Role, Speech};
+use pinerelay_admission::duty::SLICE_COUNT;
+use pinerelay_config_state::hash::mix64;
+use pinerelay_config_state::server::ServerState;
+use pinerelay_config_state::ItemSet;
+use pinerelay_consensus::Membership;
+use pinerelay_peer_link::message::{PeerMessage, Role};
+use pinerelay_proxy::subscriber::Output as Heard;
 
-use crate::check::{Breach, Ledger};
+use crate::check::{ForwardingViolation, Ledger};
 use crate::contact::Contact;
 use crate::disk::{self, Disk};
 use crate::faults::{Fault, Faults};
@@ -27,14 +27,14 @@
 /// The pause before another attempt to connect, as `propolis::link` makes it.
 pub const AGAIN: Micros = 100_000;
 /// What all slices together are.
-pub const ALL: u32 = (1 << SLICES) - 1;
+pub const ALL: u32 = (1 << SLICE_COUNT) - 1;
 
 /// What comes over a connection.
 pub enum Coming {
     /// The other end greets.
     Up,
     /// The other end says this.
-    Said(Rc<Speech>),
+    Said(Rc<PeerMessage>),
     /// The other end has closed.
     Gone,
 }
@@ -132,11 +132,11 @@
 }
 
 /// The proxies that run: their last trouble, and their configuration.
-pub fn proxies<'a>(places: Places, procs: &'a [Process], net: &Net) -> BTreeMap<Proc, (Micros, &'a Cells)> {
+pub fn proxies<'a>(places: Places, procs: &'a [Process], net: &Net) -> BTreeMap<Proc, (Micros, &'a ItemSet)> {
     let all = (0..places.proxies).map(|n| places.proxy(n));
     all.filter_map(|proc| match &procs[proc].body {
-        Some(Body::Proxy(hearing)) => {
-            Some((proc, (net.machines[places.machine(proc)].trouble, &hearing.realms()[0])))
+        Some(Body::Proxy(subscriber)) => {
+            Some((proc, (net.machines[places.machine(proc)].trouble, &subscriber.realms()[0])))
         }
         _ => None,
     })
@@ -144,7 +144,7 @@
 }
 
 /// Plays a plan to its end, or to the first breach.
-pub fn play(plan: &Plan) -> Result<Figures, Breach> {
+pub fn play(plan: &Plan) -> Result<Figures, ForwardingViolation> {
     let mut world = World::new(plan.clone());
     let end = plan.seconds * SECOND;
     while let Some(((at, _), event)) = world.queue.pop_first() {
@@ -154,7 +154,13 @@
         }
         world.ledger.overrun(world.now, at > end);
         if let Some((invariant, what)) = world.ledger.breach.take() {
-            return Err(Breach { seed: plan.seed, at: world.now, invariant, what, trail: world.trail });
+            return Err(ForwardingViolation {
+                seed: plan.seed,
+                at: world.now,
+                invariant,
+                what,
+                trail: world.trail,
+            });
         }
         if at > end {
             break;
@@ -175,7 +181,7 @@
             core: (0..plan.cores).collect(),
             left: Vec::new(),
             now: 0,
-            lot: Lot(mix(plan.seed)),
+            lot: Lot(mix64(plan.seed)),
             queue: BTreeMap::new(),
             number: 0,
             net: Net::new(places.machines()),
@@ -207,7 +213,7 @@
         world.at((world.plan.seconds - 1) * SECOND, Event::ReadAll);
         if let Some(scenario) = world.plan.scenario {
             world.orders.all_fit = scenario.all_fit;
-            let mut lot = Lot(mix(world.plan.seed ^ mix(ALL.into())));
+            let mut lot = Lot(mix64(world.plan.seed ^ mix64(ALL.into())));
             let script = (scenario.script)(&world.plan, places, &mut lot);
             script.into_iter().for_each(|(at, act)| world.at(at, Event::Act(act)));
         } else if world.plan.faults {
@@ -247,7 +253,7 @@
 
     /// What tells a process's life from all others.
     pub fn name(&self, proc: Proc) -> u64 {
-        mix(self.procs[proc].life ^ mix(proc as u64 ^ mix(self.plan.seed)))
+        mix64(self.procs[proc].life ^ mix64(proc as u64 ^ mix64(self.plan.seed)))
     }
 
     /// A process begins a life.
@@ -257,18 +263,18 @@
             return;
         }
         let role = self.places.role(proc);
-        let kept = if role == Role::Comb { self.disks[machine].read() } else { None };
+        let kept = if role == Role::ConfigStore { self.disks[machine].read() } else { None };
         let seeds = self.seeds(machine, first);
         let process = &mut self.procs[proc];
         process.life += 1;
         process.begun = self.now;
         process.wall = wall(self.now).saturating_add_signed(self.net.machines[machine].skew);
-        process.hasty = role == Role::Forager && self.plan.broken == Some(Broken::Haste);
+        process.hasty = role == Role::Proxy && self.plan.broken == Some(Broken::Haste);
         let life = process.life;
         let told = Told { life: self.name(proc), wall: self.procs[proc].wall, first, seeds };
         let mut out = Vec::new();
         self.procs[proc].body = Some(Body::begin(&self.plan, self.places, proc, told, kept, &mut out));
-        if role == Role::Forager {
+        if role == Role::Proxy {
             self.ledger.begins(proc);
         }
         self.carry_out(proc, out);
@@ -291,7 +297,7 @@
             }
         }
         self.ledger.ends(proc);
-        if self.places.role(proc) == Role::Comb {
+        if self.places.role(proc) == Role::ConfigStore {
             self.disks[self.places.machine(proc)].ends(&mut self.lot, power);
         }
     }
@@ -339,8 +345,8 @@
         if self.plan.broken != Some(Broken::Pieces) {
             return;
         }
-        let Some(Body::Proxy(hearing)) = &self.procs[proc].body else { return };
-        let items = &hearing.realms()[0];
+        let Some(Body::Proxy(subscriber)) = &self.procs[proc].body else { return };
+        let items = &subscriber.realms()[0];
         if !items.is_empty() {
             self.ledger.configured(self.now, proc, items, &mut self.figures);
         }
@@ -350,14 +356,14 @@
         match heard {
             Heard::Configured(table) => {
                 self.procs[proc].table = Some(table);
-                let Some(Body::Proxy(hearing)) = &self.procs[proc].body else { return };
-                self.ledger.configured(self.now, proc, &hearing.realms()[0], &mut self.figures);
+                let Some(Body::Proxy(subscriber)) = &self.procs[proc].body else { return };
+                self.ledger.configured(self.now, proc, &subscriber.realms()[0], &mut self.figures);
             }
-            Heard::Server(id, server) => {
-                let usable = server.is_some_and(|server| server.state == State::Ready);
+            Heard::ServerChanged(id, server) => {
+                let usable = server.is_some_and(|server| server.state == ServerState::Ready);
                 self.ledger.server(proc, id, usable);
             }
-            Heard::Admitted(id, admission) => self.admitted(id, admission),
+            Heard::Decided(decision) => self.admitted(decision),
             _ => {}
         }
     }
--- a/crates/smoker/tests/table_in_force.rs
+++ b/crates/smoker/tests/table_in_force.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use googletest::prelude::*;
-use pinerelay_cells::{call, Cells, Item};
+use pinerelay_config_state::{operator_call, Item, ItemSet};
 use pinerelay_smoker::check::{Invariant, Ledger};
 use pinerelay_smoker::figures::Figures;
 
@@ -18,17 +18,17 @@
 const DROP_OF_TENANT: &str = r#"{"remove":{"tenants":[{"name":"t","revision":8}]}}"#;
 
 fn items(text: &str) -> Vec<Item> {
-    call::read(text.as_bytes()).expect("a call")
+    operator_call::parse_update(text.as_bytes()).expect("a call")
 }
 
-fn table(items: impl IntoIterator<Item = Item>) -> Cells {
-    let mut cells = Cells::default();
+fn table(items: impl IntoIterator<Item = Item>) -> ItemSet {
+    let mut cells = ItemSet::default();
     cells.merge_all(items);
     cells
 }
 
 /// What is broken once a proxy that has just begun puts a table in force.
-fn broken(ledger: &mut Ledger, cells: &Cells) -> Option<Invariant> {
+fn broken(ledger: &mut Ledger, cells: &ItemSet) -> Option<Invariant> {
     ledger.begins(PROXY);
     ledger.configured(2_000_000, PROXY, cells, &mut Figures::default());
     ledger.breach.take().map(|(invariant, _)| invariant)
--- a/crates/waggle/src/check.rs
+++ b/crates/waggle/src/check.rs
@@ -1,7 +1,6 @@
 //! Whether a call's body can be taken, with the daemon's own code, and where in the body it can't.
 
-use pinerelay_cells::call::{self, Unfit};
-use pinerelay_cells::{json, judge, Cells, Item, Key, Kind};
+use pinerelay_config_state::{json, operator_call, validation, Item, ItemSet, Key, Kind, ValidationError};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 
 use crate::command::KINDS;
@@ -9,13 +8,13 @@
 
 /// Reads a body, and judges it on top of what stands: its items, or each fault with a JSON pointer. A body whose layout is
 /// at fault has one fault, as nothing after it can be read.
-pub fn check(standing: &Cells, body: &[u8]) -> Result<Vec<Item>, Vec<Unfit>> {
-    let items = call::read(body).map_err(|unfit| vec![unfit])?;
-    let whole = json::parse(body, &json::CALL).unwrap_or_default();
+pub fn check(standing: &ItemSet, body: &[u8]) -> Result<Vec<Item>, Vec<ValidationError>> {
+    let items = operator_call::parse_update(body).map_err(|unfit| vec![unfit])?;
+    let whole = json::parse(body, &json::OPERATOR_CALL).unwrap_or_default();
     let mut faults = Vec::new();
     for item in &items {
-        if let Err(unfit) = judge::item(item) {
-            faults.push(placed(&whole, &item.key, item.version.0, &unfit));
+        if let Err(unfit) = validation::check_item(item) {
+            faults.push(placed(&whole, &item.key, item.version.revision, &unfit));
         }
     }
     if faults.is_empty() {
@@ -30,24 +29,25 @@
 
 /// Faults of items that do not fit each other. What is at fault is left out for the next look: routes and tenants alone
 /// are, and nothing needs those.
-fn together(standing: &Cells, items: &[Item], whole: &Value) -> Vec<Unfit> {
+fn together(standing: &ItemSet, items: &[Item], whole: &Value) -> Vec<ValidationError> {
     let (mut standing, mut items) = (standing.clone(), items.to_vec());
     let mut faults = Vec::new();
-    while let Err(unfit) = judge::taken(&standing, &items) {
-        let key = key_of(&unfit.at);
+    while let Err(unfit) = validation::accept_update(&standing, &items) {
+        let key = key_of(&unfit.location);
         let Some(key) = key else {
             faults.push(unfit);
             break;
         };
-        let asked = items.iter().filter(|item| item.key == key).map(|item| item.version.0);
-        let newest = asked.max().filter(|asked| standing.get(&key).is_none_or(|old| old.version.0 < *asked));
+        let asked = items.iter().filter(|item| item.key == key).map(|item| item.version.revision);
+        let newest =
+            asked.max().filter(|asked| standing.get(&key).is_none_or(|old| old.version.revision < *asked));
         faults.push(match newest {
             Some(asked) => placed(whole, &key, asked, &unfit),
             // It stands already, and what the call brings does not fit it.
             None => unfit,
         });
         let before = (standing.len(), items.len());
-        standing.forget(&key);
+        standing.remove(&key);
         items.retain(|item| item.key != key);
         if before == (standing.len(), items.len()) {
             break;
@@ -65,11 +65,11 @@
 }
 
 /// A judge's fault with a pointer into the body.
-fn placed(whole: &Value, key: &Key, revision: u64, unfit: &Unfit) -> Unfit {
-    let field = unfit.at.rsplit_once('/').map_or("", |(_, field)| field);
-    let why = format!("{}: {}", unfit.at, unfit.why);
+fn placed(whole: &Value, key: &Key, revision: u64, unfit: &ValidationError) -> ValidationError {
+    let field = unfit.location.rsplit_once('/').map_or("", |(_, field)| field);
+    let why = format!("{}: {}", unfit.location, unfit.reason);
     match pointer(whole, key, revision, field) {
-        Some(at) => Unfit::new(at, why),
+        Some(at) => ValidationError::invalid(at, why),
         None => unfit.clone(),
     }
 }
@@ -96,11 +96,15 @@
 }
 
 /// Faults as a list.
-pub fn table(faults: &[Unfit]) -> Table {
+pub fn table(faults: &[ValidationError]) -> Table {
     let mut table = Table::new("faults", &["at", "why"]);
     for fault in faults {
-        let at = if fault.at.is_empty() { Cell::from("(the whole)") } else { fault.at.as_str().into() };
-        table.rows.push(vec![at, fault.why.as_str().into()]);
+        let at = if fault.location.is_empty() {
+            Cell::from("(the whole)")
+        } else {
+            fault.location.as_str().into()
+        };
+        table.rows.push(vec![at, fault.reason.as_str().into()]);
     }
     table
 }
@@ -119,7 +123,7 @@
         "records":[["s1",7],["s2",7]]},"limits":{"header_timeout":"2s","revision":7}}}"#;
 
     fn faults(body: &str) -> Vec<String> {
-        let faults = check(&Cells::default(), body.as_bytes()).err().unwrap_or_default();
+        let faults = check(&ItemSet::default(), body.as_bytes()).err().unwrap_or_default();
         faults.iter().map(|fault| fault.to_string()).collect()
     }
 
@@ -145,12 +149,12 @@
 
     #[gtest]
     fn what_stands_counts_too() {
-        let mut standing = Cells::default();
+        let mut standing = ItemSet::default();
         standing.merge_all(check(&standing, BODY.as_bytes()).expect("it fits"));
         let drops = br#"{"remove":{"services":[{"name":"s1","revision":8}]}}"#;
         let all = check(&standing, drops).expect_err("a route needs it");
         expect_that!(all[0].to_string(), eq("Route r1/service: there is no service s1"));
-        expect_that!(check(&Cells::default(), drops).is_ok(), eq(true));
+        expect_that!(check(&ItemSet::default(), drops).is_ok(), eq(true));
     }
 
     proptest! {
@@ -158,8 +162,8 @@
         fn the_check_says_what_the_daemon_would(at in 0..BODY.len(), byte in 0x20..0x7f_u8) {
             let mut body = BODY.as_bytes().to_vec();
             body[at] = byte;
-            let daemon = call::read(&body).is_ok_and(|items| judge::taken(&Cells::default(), &items).is_ok());
-            prop_assert_eq!(check(&Cells::default(), &body).is_ok(), daemon);
+            let daemon = operator_call::parse_update(&body).is_ok_and(|items| validation::accept_update(&ItemSet::default(), &items).is_ok());
+            prop_assert_eq!(check(&ItemSet::default(), &body).is_ok(), daemon);
         }
     }
 }
--- a/crates/waggle/src/command.rs
+++ b/crates/waggle/src/command.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 
 use getopts::Options;
-use pinerelay_cells::Kind;
-use pinerelay_propolis::command::CommandError;
-use pinerelay_propolis::settings::{FileError, Settings, SettingsError};
+use pinerelay_config_state::Kind;
+use pinerelay_node_runtime::command::CommandError;
+use pinerelay_node_runtime::settings::{FileError, Settings, SettingsError};
 
 /// What the client was called for.
 #[derive(Debug, PartialEq, Eq)]
@@ -138,34 +138,40 @@
                 Some("read") => Job::Read,
                 other => {
                     let other = other.unwrap_or_default().into();
-                    return Err(CommandError::Word(other, "check, diff, apply or read after config"));
+                    return Err(CommandError::UnknownArgument(
+                        other,
+                        "check, diff, apply or read after config",
+                    ));
                 }
             }
         }
         Some("completion") => match words.next() {
             Some("bash") => return Ok(Command::Print(crate::completion::bash())),
             other => {
-                return Err(CommandError::Word(other.unwrap_or_default().into(), "bash after completion"))
+                return Err(CommandError::UnknownArgument(
+                    other.unwrap_or_default().into(),
+                    "bash after completion",
+                ))
             }
         },
         other => {
             let wanted = "nodes, servers, items, duties, config or completion";
-            return Err(CommandError::Word(other.unwrap_or_default().into(), wanted));
+            return Err(CommandError::UnknownArgument(other.unwrap_or_default().into(), wanted));
         }
     };
     if let Some(more) = words.next() {
-        return Err(CommandError::Word(more.into(), "nothing more"));
+        return Err(CommandError::UnknownArgument(more.into(), "nothing more"));
     }
     if dry && !matches!(job, Job::Apply(..)) {
         return Err(CommandError::Missing("--dry-run goes with config apply alone"));
     }
     let address = |text: String| {
         let wanted = "an IPv4 address and port";
-        text.parse().map_err(|_| CommandError::Unfit("at", wanted, text))
+        text.parse().map_err(|_| CommandError::InvalidValue("at", wanted, text))
     };
     let port = |text: String| {
         let port = text.parse().ok().filter(|port| *port > 0);
-        port.ok_or(CommandError::Unfit("internal", "a port from 1 to 65535", text))
+        port.ok_or(CommandError::InvalidValue("internal", "a port from 1 to 65535", text))
     };
     let from = From {
         at: found.opt_strs("at").into_iter().map(address).collect::<Result<_, _>>()?,
@@ -182,7 +188,7 @@
     let known = KINDS.iter().find(|(name, _)| *name == word || name.trim_end_matches('s') == word);
     known
         .map(|(_, kind)| *kind)
-        .ok_or_else(|| CommandError::Word(word.into(), "routes, tenants, services or limits"))
+        .ok_or_else(|| CommandError::UnknownArgument(word.into(), "routes, tenants, services or limits"))
 }
 
 impl From {
@@ -195,10 +201,10 @@
                 places.control = settings.seed_nodes.clone();
             }
             if places.control.is_empty() {
-                return Err(CommandError::Settings(SettingsError::File(FileError::Unfit {
+                return Err(CommandError::Settings(SettingsError::File(FileError::Invalid {
                     path: path.clone(),
                     key: "seed_nodes".into(),
-                    why: "an address is wanted, or --at ADDRESS".into(),
+                    reason: "an address is wanted, or --at ADDRESS".into(),
                 })));
             }
             places.internal = places.internal.or(Some(settings.internal_ports.0));
--- a/crates/waggle/src/diff.rs
+++ b/crates/waggle/src/diff.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pinerelay_cells::{json, Cells, Item, Key};
+use pinerelay_config_state::{json, Item, ItemSet, Key};
 use sonic_rs::{JsonContainerTrait, Value};
 
 use crate::table::{Cell, Table};
@@ -57,7 +57,7 @@
 
 /// What becomes of one item.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct StateChange {
     /// The item.
     pub key: Key,
     /// What becomes of it.
@@ -92,17 +92,17 @@
 }
 
 /// What a call's items would change. What stands already, as it is in the call, is left out.
-pub fn diff(standing: &Cells, call: &[Item]) -> Vec<Change> {
+pub fn diff(standing: &ItemSet, call: &[Item]) -> Vec<StateChange> {
     // Of two versions of one item in a call the higher prevails.
-    let mut asked = Cells::default();
+    let mut asked = ItemSet::default();
     asked.merge_all(call.iter().cloned());
     let change = |item: &Item| {
         let old = standing.get(&item.key);
         let stands = old.is_some_and(|old| old.value.is_some());
-        let newer = old.is_none_or(|old| old.version.0 < item.version.0);
+        let newer = old.is_none_or(|old| old.version.revision < item.version.revision);
         let what = match (&item.value, old) {
             (_, Some(old)) if old == item => return None,
-            (_, Some(old)) if old.version.0 == item.version.0 => What::Other,
+            (_, Some(old)) if old.version.revision == item.version.revision => What::Other,
             _ if !newer => What::Older,
             (Some(_), _) if stands => What::Newer,
             (Some(_), _) => What::New,
@@ -110,14 +110,14 @@
             (None, _) => What::Mark,
         };
         let fields = if what == What::Drop { Vec::new() } else { differ(old, item) };
-        let stands = old.map(|old| old.version.0);
-        Some(Change { key: item.key.clone(), what, stands, asked: item.version.0, fields })
+        let stands = old.map(|old| old.version.revision);
+        Some(StateChange { key: item.key.clone(), what, stands, asked: item.version.revision, fields })
     };
-    asked.all().filter_map(change).collect()
+    asked.iter().filter_map(change).collect()
 }
 
 /// Changes as a list: one row for each field of what is changed, else one for the item.
-pub fn table(changes: &[Change]) -> Table {
+pub fn table(changes: &[StateChange]) -> Table {
     let columns = ["kind", "name", "what", "stands", "asked", "field", "old", "new"];
     let mut table = Table::new("changes", &columns);
     for change in changes {
@@ -145,7 +145,7 @@
 #[cfg(test)]
 mod tests {
     use googletest::prelude::*;
-    use pinerelay_cells::{call, judge, Kind};
+    use pinerelay_config_state::{operator_call, validation, Kind};
     use proptest::prelude::*;
 
     use super::*;
@@ -162,14 +162,14 @@
                     let rest = format!("\"max_conns\":{conns},\"name\":\"s{name}\",\"revision\":{revision}");
                     format!("{{{path}{rest}}}").into_bytes()
                 });
-                Item::sourced(key, revision, text)
+                Item::with_revision(key, revision, text)
             };
             all.into_iter().map(item).collect()
         })
     }
 
     /// What stands once changes are made, from what they say alone.
-    fn made(standing: &Cells, changes: &[Change]) -> Cells {
+    fn made(standing: &ItemSet, changes: &[StateChange]) -> ItemSet {
         let mut next = standing.clone();
         for change in changes.iter().filter(|change| change.what.changes() || change.what == What::Mark) {
             let value = matches!(change.what, What::New | What::Newer).then(|| {
@@ -185,7 +185,7 @@
                     all.iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
                 format!("{{{}}}", all.join(",")).into_bytes()
             });
-            next.merge(Item::sourced(change.key.clone(), change.asked, value));
+            next.merge(Item::with_revision(change.key.clone(), change.asked, value));
         }
         next
     }
@@ -193,41 +193,41 @@
     proptest! {
         #[test]
         fn a_diff_that_is_made_gives_what_the_daemon_would_have(first in calls(), second in calls()) {
-            let mut standing = Cells::default();
+            let mut standing = ItemSet::default();
             let twins = |call: &[Item]| {
-                let same = |a: &Item, b: &Item| a.key == b.key && a.version.0 == b.version.0 && a != b;
+                let same = |a: &Item, b: &Item| a.key == b.key && a.version.revision == b.version.revision && a != b;
                 call.iter().any(|a| call.iter().any(|b| same(a, b)))
             };
             // One number with two contents is refused, and services alone fit each other anyhow.
             let mut first = first;
-            first.sort_by_key(|item| (item.key.clone(), item.version.0));
-            first.dedup_by_key(|item| (item.key.clone(), item.version.0));
-            let taken = judge::taken(&standing, &first).expect("services fit");
+            first.sort_by_key(|item| (item.key.clone(), item.version.revision));
+            first.dedup_by_key(|item| (item.key.clone(), item.version.revision));
+            let taken = validation::accept_update(&standing, &first).expect("services fit");
             standing.merge_all(taken);
             let changes = diff(&standing, &second);
             let other = |item: &Item| {
-                standing.get(&item.key).is_some_and(|old| old.version.0 == item.version.0 && old != item)
+                standing.get(&item.key).is_some_and(|old| old.version.revision == item.version.revision && old != item)
             };
-            let taken = judge::taken(&standing, &second);
+            let taken = validation::accept_update(&standing, &second);
             prop_assert_eq!(taken.is_err(), second.iter().any(other) || twins(&second));
             prop_assert!(taken.is_err() || changes.iter().all(|change| change.what != What::Other));
             let taken = match taken {
                 Ok(taken) => taken,
                 Err(unfit) => {
-                    prop_assert!(unfit.conflict);
+                    prop_assert!(unfit.is_conflict());
                     return Ok(());
                 }
             };
             let mut next = standing.clone();
             next.merge_all(taken);
             let made = made(&standing, &changes);
-            prop_assert!(made.all().eq(next.all()));
+            prop_assert!(made.iter().eq(next.iter()));
             prop_assert_eq!(made.digest(), next.digest());
             // Whatever stands differs from itself in nothing, and neither does it once it was written and read.
-            let all: Vec<Item> = next.all().cloned().collect();
+            let all: Vec<Item> = next.iter().cloned().collect();
             prop_assert_eq!(diff(&next, &all), vec![]);
-            let read = rpc::parse(&call::write(&next)).expect("what was written");
-            let left: Vec<Item> = read.all().cloned().collect();
+            let read = rpc::parse(&operator_call::render_configuration(&next)).expect("what was written");
+            let left: Vec<Item> = read.iter().cloned().collect();
             prop_assert_eq!(diff(&next, &left), vec![]);
             prop_assert!(diff(&next, &second).iter().all(|change| !change.what.changes()));
         }
@@ -236,9 +236,9 @@
     #[gtest]
     fn each_item_is_told_with_its_fields() {
         let item = |name: &str, revision, text: Option<&str>| {
-            Item::sourced(Key::new(Kind::Service, name), revision, text.map(|t| t.as_bytes().to_vec()))
+            Item::with_revision(Key::new(Kind::Service, name), revision, text.map(|t| t.as_bytes().to_vec()))
         };
-        let mut standing = Cells::default();
+        let mut standing = ItemSet::default();
         standing.merge_all(["a", "b", "c", "d"].map(|name| item(name, 5, Some("{\"max_conns\":1}"))));
         let call = [
             item("a", 6, Some("{\"max_conns\":2}")),
--- a/crates/waggle/src/rpc.rs
+++ b/crates/waggle/src/rpc.rs
@@ -9,7 +9,7 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
-use pinerelay_cells::{call, json, Cells};
+use pinerelay_config_state::{json, operator_call, ItemSet, ValidationError};
 use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -43,7 +43,7 @@
     Refused(SocketAddrV4, u16, String),
     /// The configuration that came can't be read.
     #[error("{0}: what stands can't be read: {1}")]
-    Unread(SocketAddrV4, call::Unfit),
+    Unread(SocketAddrV4, ValidationError),
 }
 
 async fn once(
@@ -111,15 +111,15 @@
 }
 
 /// The configuration that stands, as items. What was dropped is not among them: no call tells of it.
-pub async fn standing(at: &[SocketAddrV4]) -> Result<Cells, RpcError> {
+pub async fn standing(at: &[SocketAddrV4]) -> Result<ItemSet, RpcError> {
     let answer = read(at).await?;
     parse(&answer.body).map_err(|unfit| RpcError::Unread(answer.from, unfit))
 }
 
 /// Items of the text that `config.read` answers.
-pub fn parse(text: &str) -> Result<Cells, call::Unfit> {
-    let mut cells = Cells::default();
+pub fn parse(text: &str) -> Result<ItemSet, ValidationError> {
+    let mut cells = ItemSet::default();
     let call = format!("{{\"upsert\":{text}}}");
-    cells.merge_all(call::read_within(call.as_bytes(), &json::STORED)?);
+    cells.merge_all(operator_call::parse_update_within(call.as_bytes(), &json::STORED)?);
     Ok(cells)
 }
--- a/crates/waggle/src/run.rs
+++ b/crates/waggle/src/run.rs
@@ -5,14 +5,14 @@
 use std::process::ExitCode;
 
 use bytes::Bytes;
-use pinerelay_cells::call::Unfit;
-use pinerelay_cells::{Cells, Item};
+use pinerelay_config_state::ValidationError;
+use pinerelay_config_state::{Item, ItemSet};
 use thiserror::Error;
 
-use pinerelay_propolis::command::CommandError;
+use pinerelay_node_runtime::command::CommandError;
 
 use crate::command::{self, Command, From, Job};
-use crate::diff::{diff, Change};
+use crate::diff::{diff, StateChange};
 use crate::look::{look, Depth, Look};
 use crate::rpc::{self, RpcError};
 use crate::table::{Cell, Report};
@@ -104,7 +104,7 @@
             let body = file(&path)?;
             let control = from.places()?.control;
             let standing =
-                if control.is_empty() { Cells::default() } else { rpc::standing(&control).await? };
+                if control.is_empty() { ItemSet::default() } else { rpc::standing(&control).await? };
             Ok(match check::check(&standing, &body) {
                 Ok(items) if json => {
                     let said = vec![("items", Cell::Whole(items.len() as u64))];
@@ -134,7 +134,7 @@
     }
 }
 
-fn faulty(faults: &[Unfit], json: bool) -> Ended {
+fn faulty(faults: &[ValidationError], json: bool) -> Ended {
     (Report { tables: vec![check::table(faults)], ..Report::default() }.shown(json), REFUSED)
 }
 
@@ -172,7 +172,7 @@
         Ok(answer) if answer.status < 300 => {
             let said = format!("{} by {}: taken", answer.status, answer.from);
             // What was dropped at a higher revision is not told, so only now it shows.
-            let left: Vec<Change> = match rpc::standing(control).await {
+            let left: Vec<StateChange> = match rpc::standing(control).await {
                 Ok(standing) => diff(&standing, items).into_iter().filter(|c| c.what.changes()).collect(),
                 Err(_) => return (format!("{said}; what stands now could not be read"), DONE),
             };
--- a/crates/waggle/src/views.rs
+++ b/crates/waggle/src/views.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{Cells, Kind};
-use pinerelay_nectar::fence::SLICES;
-use pinerelay_propolis::speech::Role;
-use pinerelay_propolis::visit::Told;
+use pinerelay_admission::duty::SLICE_COUNT;
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::{ItemSet, Kind};
+use pinerelay_peer_link::message::Role;
+use pinerelay_peer_link::query::ProcessReport;
 
 use crate::command::KINDS;
 use crate::look::Look;
@@ -19,16 +19,18 @@
 
 fn key_figures(role: Role) -> &'static [&'static str] {
     match role {
-        Role::Forager => &["ready", "servers", "registries", "waiting", "connections", "news_age_seconds"],
-        Role::Scout => &["majority", "whole", "duties", "foragers", "servers_ready", "news_age_seconds"],
-        Role::Comb => &["whole", "items", "unwritten"],
-        Role::Visitor => &[],
+        Role::Proxy => &["ready", "servers", "registries", "waiting", "connections", "update_age_seconds"],
+        Role::Registry => {
+            &["majority", "complete", "duties", "proxies", "servers_ready", "update_age_seconds"]
+        }
+        Role::ConfigStore => &["complete", "items", "open_writes"],
+        Role::Observer => &[],
     }
 }
 
-fn zone(role: Role, told: &Told) -> Option<&str> {
+fn zone(role: Role, told: &ProcessReport) -> Option<&str> {
     let begin = format!("{}_info{{zone=\"", role.name());
-    told.figures.iter().find_map(|(name, _)| name.strip_prefix(&begin)?.strip_suffix("\"}"))
+    told.metrics.iter().find_map(|metric| metric.name.strip_prefix(&begin)?.strip_suffix("\"}"))
 }
 
 /// The processes.
@@ -43,7 +45,7 @@
         let figures = match told {
             Ok(told) => {
                 let figure = |name: &&str| {
-                    let value = told.figure(&format!("{}_{name}", role.name()))?;
+                    let value = told.metric(&format!("{}_{name}", role.name()))?;
                     Some((name.to_string(), value))
                 };
                 Cell::Figures(key_figures(*role).iter().filter_map(figure).collect())
@@ -59,23 +61,30 @@
     let known: Vec<&String> = look
         .seen
         .keys()
-        .filter(|(r, _)| *r == Role::Forager)
+        .filter(|(r, _)| *r == Role::Proxy)
         .filter_map(|(_, ip)| look.names.get(ip))
         .collect();
     for node in look.missing.iter().filter(|node| !known.contains(node)) {
         let gone = "has gone without a word".into();
         let node = node.as_str().into();
-        table.rows.push(vec!["forager".into(), node, Cell::None, Cell::None, Cell::Flag(false), gone]);
+        table.rows.push(vec![
+            Role::Proxy.name().into(),
+            node,
+            Cell::None,
+            Cell::None,
+            Cell::Flag(false),
+            gone,
+        ]);
     }
     Report { tables: vec![table], missing: look.partial(), ..Report::default() }
 }
 
-fn state_name(state: State) -> &'static str {
+fn state_name(state: ServerState) -> &'static str {
     match state {
-        State::Ready => "ready",
-        State::Draining => "draining",
-        State::Lost => "lost",
-        State::Gone => "gone",
+        ServerState::Ready => "ready",
+        ServerState::Draining => "draining",
+        ServerState::Lost => "lost",
+        ServerState::Gone => "gone",
     }
 }
 
@@ -85,12 +94,12 @@
     let mut each = Table::new("servers", &["service", "id", "address", "zone", "state", "capacity"]);
     let mut counts: BTreeMap<String, [u64; 3]> = BTreeMap::new();
     let mut unread = 0;
-    for (id, value) in cells.standing(Kind::Server) {
-        let Some(server) = Server::read(value) else {
+    for (id, value) in cells.live(Kind::Server) {
+        let Some(server) = Server::decode(value) else {
             unread += 1;
             continue;
         };
-        if server.state == State::Gone {
+        if server.state == ServerState::Gone {
             continue;
         }
         counts.entry(server.service.clone()).or_default()[server.state as usize] += 1;
@@ -123,31 +132,31 @@
 pub fn duties(look: &Look) -> Report {
     let mut table = Table::new("duties", &["node", "address", "zone", "majority", "slices"]);
     let mut held = 0;
-    for (ip, told) in look.told(Role::Scout) {
-        let figure = |name: &str| told.figure(name);
-        let slices = figure("scout_duties").map(|n| n as u64);
+    for (ip, told) in look.told(Role::Registry) {
+        let figure = |name: &str| told.metric(name);
+        let slices = figure("registry_duties").map(|n| n as u64);
         held += slices.unwrap_or(0);
         table.rows.push(vec![
             told.hello.node.as_str().into(),
             Cell::Text(ip.to_string()),
-            zone(Role::Scout, told).into(),
-            figure("scout_majority").map_or(Cell::None, |n| Cell::Flag(n > 0.0)),
+            zone(Role::Registry, told).into(),
+            figure("registry_majority").map_or(Cell::None, |n| Cell::Flag(n > 0.0)),
             slices.map_or(Cell::None, Cell::Whole),
         ]);
     }
     let mut missing = look.partial();
-    if held != SLICES as u64 {
-        missing.push(format!("the registries that answered hold {held} of {SLICES} slices"));
+    if held != SLICE_COUNT as u64 {
+        missing.push(format!("the registries that answered hold {held} of {SLICE_COUNT} slices"));
     }
     Report { tables: vec![table], missing, ..Report::default() }
 }
 
 /// The items of the configuration.
-pub fn items(cells: &Cells, of: Option<Kind>) -> Report {
+pub fn items(cells: &ItemSet, of: Option<Kind>) -> Report {
     let mut table = Table::new("items", &["kind", "name", "version"]);
-    for item in cells.all().filter(|item| of.is_none_or(|kind| kind == item.key.kind)) {
+    for item in cells.iter().filter(|item| of.is_none_or(|kind| kind == item.key.kind)) {
         let name = item.key.name.as_str().into();
-        table.rows.push(vec![kind_name(item.key.kind).into(), name, Cell::Whole(item.version.0)]);
+        table.rows.push(vec![kind_name(item.key.kind).into(), name, Cell::Whole(item.version.revision)]);
     }
     Report { tables: vec![table], ..Report::default() }
 }
--- a/crates/waggle/tests/loopback.rs
+++ b/crates/waggle/tests/loopback.rs
@@ -13,10 +13,11 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use pinerelay_cells::merkle::Part;
-use pinerelay_cells::server::{Server, State};
-use pinerelay_cells::{call, judge, Cells};
-use pinerelay_propolis::speech::{self, Hello, Role, Rolled, Speech, GREETING};
+use pinerelay_config_state::anti_entropy::SyncPart;
+use pinerelay_config_state::server::{Server, ServerState};
+use pinerelay_config_state::{operator_call, validation, ItemSet};
+use pinerelay_peer_link::codec::{self, GREETING};
+use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, ProcessList, Role};
 use pinerelay_waggle::command::{From, Job};
 use pinerelay_waggle::run::{carry_out, RunError, DONE, PARTIAL, REFUSED};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,7 +34,7 @@
 
 /// A registry's end of one link.
 async fn link(mut stream: TcpStream) -> Option<()> {
-    let hello = Hello { node: "core-1".into(), ip: ME.to_string(), role: Role::Scout, life: 1 };
+    let hello = Hello { node: "core-1".into(), ip: ME.to_string(), role: Role::Registry, process_id: 1 };
     stream.write_all(&GREETING).await.ok()?;
     let mut come = BytesMut::new();
     while come.len() < GREETING.len() {
@@ -41,15 +42,17 @@
     }
     let _ = come.split_to(GREETING.len());
     loop {
-        while let Some(heard) = speech::next(&mut come).ok()? {
+        while let Some(heard) = codec::decode(&mut come).ok()? {
             let answer = match heard {
-                Speech::Hello(_) => Speech::Hello(hello.clone()),
-                Speech::Roll => Speech::Rolled(Rolled {
+                PeerMessage::Hello(_) => PeerMessage::Hello(hello.clone()),
+                PeerMessage::ProcessListRequest => PeerMessage::ProcessList(ProcessList {
                     linked: vec![hello.clone()],
                     missing: vec!["edge-9".into()],
-                    core: vec![ME.to_string()],
+                    voters: vec![ME.to_string()],
                 }),
-                Speech::Mend { realm: 1, items, parts } if items.is_empty() && parts == [Part::nothing()] => {
+                PeerMessage::Sync { realm: 1, items, parts }
+                    if items.is_empty() && parts == [SyncPart::request_all()] =>
+                {
                     let server = |port, state| Server {
                         service: "s1".into(),
                         address: SocketAddrV4::new(ME, port),
@@ -59,18 +62,25 @@
                         state,
                         warmup_ms: 0,
                     };
-                    let ready = server(1, State::Ready).item("i1", 1);
-                    let items = vec![ready, server(2, State::Lost).item("i2", 1), Server::left("i3", 9)];
-                    Speech::Mend { realm: 1, items, parts: Vec::new() }
+                    let ready = server(1, ServerState::Ready).to_item("i1", 1);
+                    let items = vec![
+                        ready,
+                        server(2, ServerState::Lost).to_item("i2", 1),
+                        Server::tombstone("i3", 9),
+                    ];
+                    PeerMessage::Sync { realm: 1, items, parts: Vec::new() }
                 }
-                Speech::Ask => {
-                    let figures =
-                        [("scout_info{zone=\"a\"}", 1.0), ("scout_majority", 1.0), ("scout_duties", 5.0)];
-                    Speech::Figures(figures.map(|(name, value)| (name.to_string(), value)).to_vec())
+                PeerMessage::MetricsRequest => {
+                    let figures = [
+                        ("registry_info{zone=\"a\"}", 1.0),
+                        ("registry_majority", 1.0),
+                        ("registry_duties", 5.0),
+                    ];
+                    PeerMessage::Metrics(figures.map(|(name, value)| Metric::new(name, value)).to_vec())
                 }
-                _ => Speech::Here,
+                _ => PeerMessage::KeepAlive,
             };
-            stream.write_all(&speech::write(&answer)).await.ok()?;
+            stream.write_all(&codec::encode(&answer)).await.ok()?;
         }
         stream.read_buf(&mut come).await.ok().filter(|more| *more > 0)?;
     }
@@ -87,7 +97,7 @@
 }
 
 /// A control address over a configuration; gives so many answers 503 to updates that it has taken, first.
-async fn control(cells: Rc<RefCell<Cells>>, unclear: usize) -> SocketAddrV4 {
+async fn control(cells: Rc<RefCell<ItemSet>>, unclear: usize) -> SocketAddrV4 {
     let (listener, at) = bound().await;
     let unclear = Rc::new(Cell::new(unclear));
     tokio::task::spawn_local(async move {
@@ -100,9 +110,11 @@
                     let body = request.into_body().collect().await.expect("a body").to_bytes();
                     let mut cells = cells.borrow_mut();
                     let (status, body) = if !update {
-                        (200, call::write(&cells))
+                        (200, operator_call::render_configuration(&cells))
                     } else {
-                        match call::read(&body).and_then(|items| judge::taken(&cells, &items)) {
+                        match operator_call::parse_update(&body)
+                            .and_then(|items| validation::accept_update(&cells, &items))
+                        {
                             Ok(taken) => {
                                 cells.merge_all(taken);
                                 let left = unclear.get();
@@ -148,9 +160,9 @@
         let done = async |job, json| carry_out(job, &from, json).await.expect("a report");
         let (text, code) = done(Job::Nodes, false).await;
         expect_that!(code, eq(DONE));
-        expect_that!(text, contains_regex(r"scout +core-1 +127\.0\.0\.1 +a +yes +majority=1 duties=5"));
-        expect_that!(text, contains_regex(r"comb +core-1 +127\.0\.0\.1 +a +no "));
-        expect_that!(text, contains_regex(r"forager +edge-9 +- +- +no +has gone without a word"));
+        expect_that!(text, contains_regex(r"registry +core-1 +127\.0\.0\.1 +a +yes +majority=1 duties=5"));
+        expect_that!(text, contains_regex(r"config_store +core-1 +127\.0\.0\.1 +a +no "));
+        expect_that!(text, contains_regex(r"proxy +edge-9 +- +- +no +has gone without a word"));
         let (text, code) = done(Job::Servers, true).await;
         expect_that!(code, eq(DONE));
         expect_that!(text, contains_substring(r#"[{"service":"s1","ready":1,"draining":0,"lost":1}]"#));
@@ -187,7 +199,7 @@
 #[tokio::test]
 async fn a_call_is_compared_sent_again_unchanged_and_told() {
     let work = async {
-        let cells = Rc::new(RefCell::new(Cells::default()));
+        let cells = Rc::new(RefCell::new(ItemSet::default()));
         let (first, second) = (control(cells.clone(), 1).await, control(cells.clone(), 0).await);
         let from = From { at: vec![first, second], ..From::default() };
         let body = r#"{"upsert":{"services":{"column_names":["name","revision","max_conns"],"records":[["s1",N,M]]}}}"#;
