--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -14,11 +14,10 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use bytes::Bytes;
 use hyper::body::{Body, Incoming};
-use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::header::TRANSFER_ENCODING;
 use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use mountbend::interface::{CustomerId, NewRequest, Reason, RequestId as NodeRequestId};
 use mountbend::measure::lot;
 use pinerelay_admission::lease_cache::{Admission, Decision, RequestId};
@@ -45,11 +44,15 @@
 use crate::services::{Service, Services};
 use crate::upstream::BUFFERED_BODY_LENGTH;
 
+mod framing;
 mod guards;
 mod rejection;
+mod response;
 
+use framing::check_framing;
 use guards::{DrainGuard, WaitingGuard, WithdrawalGuard};
 use rejection::{Rejection, RetryAfter};
+use response::{complete_response, fallback_response};
 
 /// How long a body may take after its head, besides the time that it takes at the least pace.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
@@ -443,48 +446,6 @@
     }
 }
 
-/// Rejects what would make the end of the request ambiguous (RFC 9112, section 6.3).
-fn check_framing(parts: &Parts, wire: &Wire) -> Result<(), Rejection> {
-    let mut codings = parts.headers.get_all(TRANSFER_ENCODING).iter();
-    if let Some(coding) = codings.next() {
-        if codings.next().is_some() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
-            return Err(Rejection::bad_request("chunked alone is decoded here\n"));
-        }
-        // A body with two lengths may hide another request, and of the two headers only this one is left by now.
-        if wire.names_length() {
-            return Err(Rejection::bad_request("a body comes in chunks or with a length, not with both\n"));
-        }
-    }
-    if wire.target_changed() {
-        return Err(Rejection::bad_request("a path holds no fragment\n"));
-    }
-    if wire.odd_lines() {
-        return Err(Rejection::bad_request("lines of a head end with CR and LF, and none is folded\n"));
-    }
-    if parts.method == Method::CONNECT {
-        return Err(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "no tunnels are made here\n"));
-    }
-    Ok(())
-}
-
-/// A server's response. The length of a body is declared anew, by what there is.
-fn complete_response(response: Response<Bytes>) -> Response<ResponseBody> {
-    let (mut head, body) = response.into_parts();
-    remove_hop_by_hop(&mut head.headers);
-    if !body.is_empty() {
-        head.headers.remove(CONTENT_LENGTH);
-    }
-    Response::from_parts(head, body.into())
-}
-
-/// A server's own failure, which no other server has bettered.
-fn fallback_response(response: Response<Bytes>) -> Response<ResponseBody> {
-    let (mut head, body) = response.into_parts();
-    remove_hop_by_hop(&mut head.headers);
-    head.headers.remove(CONTENT_LENGTH);
-    Response::from_parts(head, body.into())
-}
-
 impl Handler for RequestHandler {
     type Reply = ResponseBody;
 
--- a/crates/proxy/src/subscriber.rs
+++ b/crates/proxy/src/subscriber.rs
@@ -1,6 +1,6 @@
 //! What the proxy receives from the registries, and what it asks of them: a state machine without clock or sockets.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use pinerelay_admission::lease_cache::{Decision, LeaseCache, RequestId};
@@ -18,8 +18,10 @@
 };
 
 mod leases;
+mod registry_link;
 
 pub use pinerelay_admission::lease_cache::Admission;
+use registry_link::{Confirmation, RegistryLink};
 
 /// How often it sends the digests of what it has.
 const DIGEST_INTERVAL: Micros = 600_000;
@@ -56,56 +58,6 @@
     },
 }
 
-/// What a registry has confirmed of its replica.
-#[derive(Debug, Clone, Copy)]
-struct Confirmation {
-    /// The digest of its configuration items.
-    digest: u64,
-    /// Until when they count as current.
-    until: Micros,
-}
-
-/// A registry that the proxy is linked to.
-struct RegistryLink {
-    hello: Hello,
-    status: Option<RegistryStatus>,
-    /// The digest of its configuration items, as it was sent last.
-    config_digest: Option<u64>,
-    confirmation: Option<Confirmation>,
-    /// When lease requests were sent that have no answer yet: answers come in the same order.
-    open_lease_requests: VecDeque<Micros>,
-    /// When it last took part in anti-entropy.
-    last_sync: Option<Micros>,
-}
-
-impl RegistryLink {
-    fn new(hello: Hello) -> RegistryLink {
-        RegistryLink {
-            hello,
-            status: None,
-            config_digest: None,
-            confirmation: None,
-            open_lease_requests: VecDeque::new(),
-            last_sync: None,
-        }
-    }
-
-    fn is_complete(&self) -> bool {
-        self.status.as_ref().is_some_and(|status| status.is_complete)
-    }
-
-    fn has_majority(&self) -> bool {
-        self.status.as_ref().is_some_and(|status| status.has_majority)
-    }
-
-    /// The digest of its configuration items, if that is confirmed as current.
-    fn current_digest(&self, now: Micros) -> Option<u64> {
-        self.confirmation
-            .filter(|confirmation| now < confirmation.until)
-            .map(|confirmation| confirmation.digest)
-    }
-}
-
 /// The proxy's place among all proxies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Place {
