--- a/crates/keeper/examples/measure.rs
+++ b/crates/exporter/examples/measure.rs
@@ -1,6 +1,6 @@
 //! Measures what a scrape costs: processes that are simulated in one thread, the exporter in another.
 //!
-//! `cargo run --release -p pinerelay-keeper --example measure -- 11 100`
+//! `cargo run --release -p pinerelay-exporter --example measure -- 11 100`
 
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,8 +8,8 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-use pinerelay_keeper::run::Keeper;
-use pinerelay_keeper::{figures, rules};
+use pinerelay_exporter::exporter::Exporter;
+use pinerelay_exporter::{metric_names, rules};
 use pinerelay_peer_link::link::{LinkEvent, Links};
 use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, ProcessList, Role};
 use tokio::runtime::{Builder, LocalOptions, LocalRuntime};
@@ -17,7 +17,7 @@
 /// The first of the internal ports.
 const PORT: u16 = 47_560;
 /// Looks that are measured, one each two seconds.
-const LOOKS: u32 = 5;
+const POLLS: u32 = 5;
 
 fn runtime() -> std::io::Result<LocalRuntime> {
     Builder::new_current_thread().enable_all().build_local(LocalOptions::default())
@@ -46,8 +46,8 @@
 /// The metrics that a process of a role answers with.
 fn metrics(role: Role) -> Vec<Metric> {
     let prefix = format!("{}_", role.name());
-    let own = figures::KNOWN.iter().filter(|(name, _)| name.starts_with(&prefix));
-    let mut all: Vec<Metric> = own.map(|(name, _)| Metric::new(*name, 1234.5)).collect();
+    let own = metric_names::KNOWN_METRICS.iter().filter(|known| known.name.starts_with(&prefix));
+    let mut all: Vec<Metric> = own.map(|known| Metric::new(known.name, 1234.5)).collect();
     all.push(Metric::new(format!("{prefix}info{{zone=\"a\"}}"), 1.0));
     let status = |s: u32| Metric::new(format!("proxy_answers_total{{status=\"{s}\"}}"), 9.0);
     all.extend((role == Role::Proxy).then(|| [200, 400, 404, 429, 503].map(status)).into_iter().flatten());
@@ -84,43 +84,44 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let rules = rules::read(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/alerts.toml")))?;
-    println!("processes | CPU ms a look | asked bytes | text bytes | took ms | CPU share");
+    let rules =
+        rules::read_file(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/alerts.toml")))?;
+    println!("processes | CPU ms a poll | asked bytes | text bytes | took ms | CPU share");
     for (turn, processes) in std::env::args().skip(1).enumerate() {
         let processes: usize = processes.parse()?;
         let (ready, is_ready) = channel();
         let port = PORT + 10 * turn as u16;
         std::thread::spawn(move || runtime()?.block_on(play(fleet(processes), port, ready)));
         is_ready.recv()?;
-        let keeper = Keeper::new(vec![Ipv4Addr::new(127, 77, 0, 1)], port, rules.clone());
+        let exporter = Exporter::new(vec![Ipv4Addr::new(127, 77, 0, 1)], port, rules.clone());
         let number = |text: &str, name: &str| -> f64 {
             let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
             line.and_then(|value| value.parse().ok()).unwrap_or(f64::NAN)
         };
         let (mut took, mut text) = (0.0, String::new());
         runtime()?.block_on(async {
-            // The first look learns who is there.
-            text = keeper.scrape().await?;
-            let first = number(&text, "pinerelay_keeper_look_bytes_total");
+            // The first poll learns who is there.
+            text = exporter.scrape().await?;
+            let first = number(&text, "pinerelay_exporter_query_bytes_total");
             // The kernel books a thread's time when it sleeps, which it has done by the next line that reads it.
             tokio::time::sleep(Duration::from_millis(2_010)).await;
             let begun = cpu();
-            for _ in 0..LOOKS {
-                text = keeper.scrape().await?;
-                took += number(&text, "pinerelay_keeper_look_seconds");
+            for _ in 0..POLLS {
+                text = exporter.scrape().await?;
+                took += number(&text, "pinerelay_exporter_poll_duration_seconds");
                 tokio::time::sleep(Duration::from_millis(2_010)).await;
             }
             let spent = cpu() - begun;
-            let asked = number(&text, "pinerelay_keeper_look_bytes_total") - first;
+            let asked = number(&text, "pinerelay_exporter_query_bytes_total") - first;
             let up = text.lines().filter(|l| l.starts_with("pinerelay_up{") && l.ends_with(" 1.0")).count();
-            let looks = f64::from(LOOKS);
+            let polls = f64::from(POLLS);
             println!(
                 "{up:9} | {:13.2} | {:11.0} | {:10} | {:7.1} | {:.3}%",
-                spent / looks * 1e3,
-                asked / looks,
+                spent / polls * 1e3,
+                asked / polls,
                 text.len(),
-                took / looks * 1e3,
-                spent / looks / 2.0 * 100.0
+                took / polls * 1e3,
+                spent / polls / 2.0 * 100.0
             );
             Ok::<(), Box<dyn Error>>(())
         })?;
--- a/crates/keeper/src/main.rs
+++ b/crates/exporter/src/main.rs
@@ -1,5 +1,5 @@
 //! Starts the exporter.
 
 fn main() -> std::process::ExitCode {
-    pinerelay_keeper::command::follow()
+    pinerelay_exporter::command::execute()
 }
--- /dev/null
+++ b/crates/exporter/src/process_table.rs
@@ -0,0 +1,276 @@
+//! Which processes there are, when each may be queried, and what it answered last: a state machine without clock or sockets.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::Ipv4Addr;
+
+use pinerelay_peer_link::message::{Metric, ProcessList, Role};
+use pinerelay_peer_link::query::ProcessReport;
+
+use crate::metric_names::{parse_name, MetricName};
+use crate::observation::Observation;
+use crate::Micros;
+
+/// No process is queried more often, in microseconds.
+pub const POLL_INTERVAL: Micros = 2_000_000;
+/// A core process that nobody names any more is forgotten once it has been silent for so long, in microseconds.
+const FORGET_AFTER: Micros = 60_000_000;
+/// The most processes that are queried.
+const MAX_PROCESSES: usize = 2_000;
+/// The most metrics of a process that are kept.
+const MAX_METRICS: usize = 256;
+
+/// Where a process is reached.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProcessAddress {
+    /// Its program.
+    pub role: Role,
+    /// Its machine.
+    pub ip: Ipv4Addr,
+}
+
+impl ProcessAddress {
+    /// The address of a program on a machine.
+    pub const fn new(role: Role, ip: Ipv4Addr) -> ProcessAddress {
+        ProcessAddress { role, ip }
+    }
+}
+
+/// A metric as a process reported it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ReportedMetric {
+    /// Its name with its label.
+    pub name: MetricName,
+    /// Its value, which is finite.
+    pub value: f64,
+}
+
+/// What is known of one process.
+#[derive(Debug, Default)]
+pub struct Process {
+    /// The name of its machine; `None` until it is known.
+    pub node: Option<String>,
+    /// The machine's zone; empty until it is known.
+    pub zone: String,
+    /// Whether it answered the last query.
+    pub is_up: bool,
+    /// How often it was seen to start.
+    pub starts: u64,
+    /// The metrics that it reported last.
+    pub metrics: Vec<ReportedMetric>,
+    process_id: Option<u64>,
+    last_query: Option<Micros>,
+    last_answer: Micros,
+    /// A registry's list of the processes that it knows.
+    process_list: Option<ProcessList>,
+}
+
+/// All processes.
+#[derive(Default)]
+pub struct ProcessTable {
+    seeds: BTreeSet<Ipv4Addr>,
+    processes: BTreeMap<ProcessAddress, Process>,
+    unknown_metrics: u64,
+}
+
+impl ProcessTable {
+    /// A table that knows these registries.
+    pub fn new(seeds: impl IntoIterator<Item = Ipv4Addr>) -> ProcessTable {
+        let seeds: BTreeSet<Ipv4Addr> = seeds.into_iter().collect();
+        let registries = seeds.iter().map(|ip| ProcessAddress::new(Role::Registry, *ip));
+        let processes = registries.map(|address| (address, Process::default())).collect();
+        ProcessTable { seeds, processes, unknown_metrics: 0 }
+    }
+
+    /// The processes that may be queried now. They count as queried.
+    pub fn take_due(&mut self, now: Micros) -> Vec<ProcessAddress> {
+        let is_due = |process: &Process| process.last_query.is_none_or(|last| now >= last + POLL_INTERVAL);
+        let due = self.processes.iter_mut().filter(|(_, process)| is_due(process));
+        due.map(|(address, process)| {
+            process.last_query = Some(now);
+            *address
+        })
+        .collect()
+    }
+
+    /// A process has answered.
+    pub fn answered(&mut self, now: Micros, address: ProcessAddress, report: ProcessReport) {
+        let Some(process) = self.processes.get_mut(&address) else { return };
+        if report.hello.role != address.role {
+            process.is_up = false;
+            return;
+        }
+        if process.node.as_ref().is_some_and(|node| *node != report.hello.node) {
+            // Another machine has the address now.
+            *process = Process { last_query: process.last_query, ..Process::default() };
+        }
+        let process_id = report.hello.process_id;
+        if process.process_id.replace(process_id).is_some_and(|before| before != process_id) {
+            process.starts += 1;
+        }
+        process.node = Some(report.hello.node);
+        process.is_up = true;
+        process.last_answer = now;
+        self.unknown_metrics += process.take_metrics(report.metrics);
+        process.process_list = report.process_list;
+        if let Some(list) = process.process_list.clone() {
+            self.learn_processes(now, &list);
+            self.share_node_names();
+        }
+    }
+
+    /// Learns of processes from the list of a registry.
+    fn learn_processes(&mut self, now: Micros, list: &ProcessList) {
+        for hello in list.linked.iter().filter(|hello| hello.role != Role::Observer) {
+            self.learn_process(now, hello.role, &hello.ip, Some(&hello.node));
+        }
+        // A voter is expected to run even when nobody is linked to it.
+        for ip in &list.voters {
+            self.learn_process(now, Role::Registry, ip, None);
+            self.learn_process(now, Role::ConfigStore, ip, None);
+        }
+    }
+
+    fn learn_process(&mut self, now: Micros, role: Role, ip: &str, node: Option<&String>) {
+        let Ok(ip) = ip.parse() else { return };
+        let address = ProcessAddress::new(role, ip);
+        if self.processes.len() >= MAX_PROCESSES && !self.processes.contains_key(&address) {
+            return;
+        }
+        let new = || Process { last_answer: now, ..Process::default() };
+        let process = self.processes.entry(address).or_insert_with(new);
+        if process.node.is_none() {
+            process.node = node.cloned();
+        }
+    }
+
+    /// The programs of one machine have one node name.
+    fn share_node_names(&mut self) {
+        let names: BTreeMap<Ipv4Addr, String> = self
+            .processes
+            .iter()
+            .filter_map(|(address, process)| Some((address.ip, process.node.clone()?)))
+            .collect();
+        for (address, process) in self.processes.iter_mut().filter(|(_, process)| process.node.is_none()) {
+            process.node = names.get(&address.ip).cloned();
+        }
+    }
+
+    /// A process has not answered in time.
+    pub fn unanswered(&mut self, address: ProcessAddress) {
+        if let Some(process) = self.processes.get_mut(&address) {
+            process.is_up = false;
+            process.process_list = None;
+            process.metrics.clear();
+        }
+    }
+
+    /// Ends a poll: all that were queried have answered, or have not in time. Processes that ended as planned are forgotten.
+    pub fn forget_ended(&mut self, now: Micros) {
+        let expected = ExpectedProcesses::of(&self.processes);
+        let ended = self.processes.iter().filter(|(address, process)| {
+            !process.is_up
+                && match address.role {
+                    Role::Proxy => !expected.has_proxy(process),
+                    _ => {
+                        let is_seed = address.role == Role::Registry && self.seeds.contains(&address.ip);
+                        let is_old = now >= process.last_answer + FORGET_AFTER;
+                        is_old && !is_seed && !expected.core.contains(&address.ip)
+                    }
+                }
+        });
+        let ended: Vec<ProcessAddress> = ended.map(|(address, _)| *address).collect();
+        for address in ended {
+            self.processes.remove(&address);
+        }
+    }
+
+    /// The processes whose node name is known.
+    pub fn named(&self) -> impl Iterator<Item = (Role, &str, &Process)> {
+        self.processes
+            .iter()
+            .filter_map(|(address, process)| Some((address.role, process.node.as_deref()?, process)))
+    }
+
+    /// How many processes have never told their name.
+    pub fn unnamed(&self) -> usize {
+        self.processes.len() - self.named().count()
+    }
+
+    /// How many metrics were reported that are not known.
+    pub fn unknown_metrics(&self) -> u64 {
+        self.unknown_metrics
+    }
+
+    /// What the alert rules are applied to.
+    pub fn observations(&self) -> Vec<Observation> {
+        let has_zone = |process: &Process| !process.zone.is_empty();
+        let zones: BTreeMap<&str, &str> = self
+            .named()
+            .filter(|(_, _, process)| has_zone(process))
+            .map(|(_, node, process)| (node, process.zone.as_str()))
+            .collect();
+        let observations = self.named().map(|(role, node, process)| {
+            let zone = zones.get(node).copied().unwrap_or_default().to_string();
+            let process_id = process.process_id.unwrap_or(0);
+            Observation { role, node: node.into(), zone, process_id, metrics: process.metric_sums() }
+        });
+        observations.collect()
+    }
+}
+
+impl Process {
+    /// Takes the reported metrics that are known; returns how many are not.
+    fn take_metrics(&mut self, metrics: Vec<Metric>) -> u64 {
+        self.metrics.clear();
+        let mut unknown = 0;
+        for Metric { name, value } in metrics.into_iter().take(MAX_METRICS) {
+            let Some(name) = parse_name(&name).filter(|_| value.is_finite()) else {
+                unknown += 1;
+                continue;
+            };
+            match name.label {
+                Some(label) if label.name == "zone" && name.name.ends_with("_info") => {
+                    self.zone = label.value;
+                }
+                _ => self.metrics.push(ReportedMetric { name, value }),
+            }
+        }
+        unknown
+    }
+
+    /// The metrics by name, those with labels added up, and what the exporter itself knows of the process.
+    fn metric_sums(&self) -> BTreeMap<&'static str, f64> {
+        let mut sums = BTreeMap::new();
+        for metric in &self.metrics {
+            *sums.entry(metric.name.name).or_insert(0.0) += metric.value;
+        }
+        sums.insert("up", f64::from(u8::from(self.is_up)));
+        sums.insert("starts_total", self.starts as f64);
+        sums
+    }
+}
+
+/// The processes that registries expect to run.
+struct ExpectedProcesses {
+    /// Proxies that are linked to a registry, or that one misses; `None` while no registry answers, as nothing is known then.
+    proxies: Option<BTreeSet<String>>,
+    core: BTreeSet<Ipv4Addr>,
+}
+
+impl ExpectedProcesses {
+    fn of(processes: &BTreeMap<ProcessAddress, Process>) -> ExpectedProcesses {
+        let lists: Vec<&ProcessList> =
+            processes.values().filter_map(|process| process.process_list.as_ref()).collect();
+        let linked = lists.iter().flat_map(|list| &list.linked);
+        let linked = linked.filter(|hello| hello.role == Role::Proxy).map(|hello| &hello.node);
+        let missing = lists.iter().flat_map(|list| &list.missing);
+        let proxies = (!lists.is_empty()).then(|| linked.chain(missing).cloned().collect());
+        let core = lists.iter().flat_map(|list| &list.voters).filter_map(|ip| ip.parse().ok()).collect();
+        ExpectedProcesses { proxies, core }
+    }
+
+    fn has_proxy(&self, process: &Process) -> bool {
+        let Some(proxies) = &self.proxies else { return true };
+        process.node.as_ref().is_some_and(|node| proxies.contains(node))
+    }
+}
--- a/crates/keeper/tests/alerts.rs
+++ b/crates/exporter/tests/alerts.rs
@@ -4,8 +4,9 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use pinerelay_keeper::alerts::{Alerts, Change, Seen};
-use pinerelay_keeper::rules::{self, Rule};
+use pinerelay_exporter::alerts::{AlertChange, Alerts};
+use pinerelay_exporter::observation::Observation;
+use pinerelay_exporter::rules::{self, Rule};
 use pinerelay_peer_link::message::Role;
 use proptest::prelude::*;
 
@@ -13,10 +14,10 @@
 
 fn shipped() -> Vec<Rule> {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/alerts.toml"));
-    rules::read(path).expect("the rules that ship")
+    rules::read_file(path).expect("the rules that ship")
 }
 
-fn process(node: &str, figure: &'static str, value: f64) -> Seen {
+fn process(node: &str, figure: &'static str, value: f64) -> Observation {
     let role = if figure.starts_with("config_store") {
         Role::ConfigStore
     } else if figure.starts_with("registry") {
@@ -25,15 +26,15 @@
         Role::Proxy
     };
     let zone = node.split('-').next().unwrap_or_default().to_string();
-    Seen { role, node: node.into(), zone, life: 1, figures: BTreeMap::from([(figure, value)]) }
+    Observation { role, node: node.into(), zone, process_id: 1, metrics: BTreeMap::from([(figure, value)]) }
 }
 
 /// What a figure's course raises and clears, look by look.
 fn course(alerts: &mut Alerts, figure: &'static str, values: &[f64]) -> Vec<(usize, String, bool)> {
     let mut told = Vec::new();
     for (look, value) in values.iter().enumerate() {
-        let changes = alerts.look(look as u64 * LOOK, &[process("a-1", figure, *value)]);
-        told.extend(changes.into_iter().map(|change| (look, change.name, change.raised)));
+        let changes = alerts.observe(look as u64 * LOOK, &[process("a-1", figure, *value)]);
+        told.extend(changes.into_iter().map(|change| (look, change.rule, change.is_raised)));
     }
     told
 }
@@ -64,7 +65,7 @@
             ("registry_majority", steps(&[(1.0, 3), (0.0, 5), (1.0, 4)]), 0, steps(&[(1.0, 12)])),
         ),
         (
-            "store_not_whole",
+            "store_incomplete",
             (
                 "config_store_complete_reported",
                 steps(&[(1.0, 3), (0.0, 8), (1.0, 4)]),
@@ -82,7 +83,7 @@
             ),
         ),
         (
-            "disk_stuck",
+            "disk_stalled",
             (
                 "config_store_oldest_open_write_seconds",
                 steps(&[(0.0, 2), (1.5, 2), (0.0, 5)]),
@@ -91,11 +92,11 @@
             ),
         ),
         (
-            "disk_refusing",
+            "disk_failing",
             ("config_store_writes_refused_total", growth(&[(0.0, 3), (3.0, 2), (0.0, 12)]), 0, vec![7.0; 12]),
         ),
         (
-            "news_late",
+            "updates_late",
             (
                 "proxy_update_age_seconds",
                 steps(&[(0.4, 3), (4.0, 4), (0.3, 5)]),
@@ -104,7 +105,7 @@
             ),
         ),
         (
-            "registry_news_late",
+            "registry_updates_late",
             (
                 "registry_update_age_seconds",
                 steps(&[(0.4, 3), (4.0, 4), (0.3, 5)]),
@@ -113,7 +114,7 @@
             ),
         ),
         (
-            "drain_not_heard",
+            "deregistration_rejected",
             (
                 "registry_deregistrations_rejected_total",
                 growth(&[(0.0, 3), (1.0, 1), (0.0, 12)]),
@@ -122,7 +123,7 @@
             ),
         ),
         (
-            "quota_stranded",
+            "quota_unanswered",
             (
                 "proxy_quota_unanswered_total",
                 growth(&[(0.0, 3), (8.0, 6), (0.0, 14)]),
@@ -131,7 +132,7 @@
             ),
         ),
         (
-            "further_tries_near_end",
+            "retries_near_limit",
             (
                 "proxy_retry_budget_used_ratio",
                 steps(&[(0.1, 3), (0.9, 4), (0.7, 3), (0.1, 7)]),
@@ -140,7 +141,7 @@
             ),
         ),
         (
-            "further_tries_denied",
+            "retries_denied",
             (
                 "proxy_retries_denied_total",
                 growth(&[(0.0, 3), (8.0, 6), (0.0, 14)]),
@@ -170,7 +171,7 @@
     expect_that!(rules.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), len(eq(cases.len())));
     for rule in &rules {
         let (figure, trouble, within, quiet) = &cases[rule.name.as_str()];
-        expect_that!(rule.figure, eq(*figure));
+        expect_that!(rule.metric, eq(*figure));
         let told = course(&mut Alerts::new(rules.clone()), figure, trouble);
         let names: Vec<(&str, bool)> =
             told.iter().map(|(_, name, raised)| (name.as_str(), *raised)).collect();
@@ -203,21 +204,21 @@
     let mut alerts = Alerts::new(shipped());
     let hall = |up: f64| {
         let cut = (0..11).map(move |n| process(&format!("b-{n}"), "up", up));
-        cut.chain([process("a-1", "up", 1.0)]).collect::<Vec<Seen>>()
+        cut.chain([process("a-1", "up", 1.0)]).collect::<Vec<Observation>>()
     };
     let mut told = Vec::new();
-    (0..2).for_each(|look| told.extend(alerts.look(look * LOOK, &hall(1.0))));
-    (2..8).for_each(|look| told.extend(alerts.look(look * LOOK, &hall(0.0))));
+    (0..2).for_each(|look| told.extend(alerts.observe(look * LOOK, &hall(1.0))));
+    (2..8).for_each(|look| told.extend(alerts.observe(look * LOOK, &hall(0.0))));
     expect_that!(told, len(eq(1)));
-    expect_that!((told[0].group.as_str(), told[0].who.len()), eq(("b", 11)));
+    expect_that!((told[0].group.as_str(), told[0].processes.len()), eq(("b", 11)));
     // They tell nothing any more, not even that they are down; then they are forgotten.
     let mut nothing = hall(0.0);
-    nothing.iter_mut().for_each(|seen| seen.figures.clear());
-    (8..20).for_each(|look| told.extend(alerts.look(look * LOOK, &nothing)));
+    nothing.iter_mut().for_each(|seen| seen.metrics.clear());
+    (8..20).for_each(|look| told.extend(alerts.observe(look * LOOK, &nothing)));
     expect_that!(told, len(eq(1)));
-    (20..24).for_each(|look| told.extend(alerts.look(look * LOOK, &[])));
+    (20..24).for_each(|look| told.extend(alerts.observe(look * LOOK, &[])));
     expect_that!(told, len(eq(2)));
-    expect_that!(alerts.all().count(), eq(0));
+    expect_that!(alerts.statuses().count(), eq(0));
 }
 
 #[gtest]
@@ -225,12 +226,12 @@
     let mut alerts = Alerts::new(shipped());
     let counts = [0.0, 50.0, 51.0, 600.0, 0.0, 1.0];
     let lives = [1, 1, 1, 2, 2, 2];
-    let mut told: Vec<Change> = Vec::new();
+    let mut told: Vec<AlertChange> = Vec::new();
     for look in 0..6 {
         // The first look's counter may be of any age: only what it grows by counts.
         let mut seen = process("a-1", "proxy_quota_unanswered_total", counts[look] / 10.0);
-        seen.life = lives[look];
-        told.extend(alerts.look(look as u64 * LOOK, &[seen]));
+        seen.process_id = lives[look];
+        told.extend(alerts.observe(look as u64 * LOOK, &[seen]));
     }
     expect_that!(told, is_empty());
 }
@@ -244,7 +245,7 @@
         let rule = rules::parse(Path::new("r.toml"), r#"
             [[alert]]
             name = "r"
-            figure = "proxy_update_age_seconds"
+            metric = "proxy_update_age_seconds"
             compare = "above"
             raise = "6s"
             clear = "3s"
@@ -262,11 +263,11 @@
         for (values, gap) in courses.iter().zip(gaps) {
             now += gap;
             past.push((now, values.clone()));
-            let seen: Vec<Seen> = values.iter().enumerate().map(|(number, value)| {
+            let seen: Vec<Observation> = values.iter().enumerate().map(|(number, value)| {
                 let zone = if number == 0 { "a" } else { "b" };
                 process(&format!("{zone}-{number}"), "proxy_update_age_seconds", f64::from(*value))
             }).collect();
-            let told = alerts.look(now, &seen);
+            let told = alerts.observe(now, &seen);
             for (group, numbers) in [("a", 0..1), ("b", 1..3)] {
                 // Said again from all that has been, the slow way.
                 let over = |look: usize, number: usize| {
@@ -284,7 +285,7 @@
                 }
                 let wait = if *was { 4_000_000 } else { 5_000_000 };
                 let change = first < past.len() && now >= past[first].0 + wait;
-                let told: Vec<bool> = told.iter().filter(|c| c.group == group).map(|c| c.raised).collect();
+                let told: Vec<bool> = told.iter().filter(|c| c.group == group).map(|c| c.is_raised).collect();
                 prop_assert_eq!(told, if change { vec![!*was] } else { Vec::new() });
                 if change {
                     prop_assert!(*was || *cleared == 0 || now >= *cleared + 5_000_000, "twice within the hold time");
@@ -293,6 +294,6 @@
                 }
             }
         }
-        prop_assert!(alerts.all().count() <= 2, "one for each group");
+        prop_assert!(alerts.statuses().count() <= 2, "one for each group");
     }
 }
