--- a/crates/exporter/tests/process_table.rs
+++ b/crates/exporter/tests/process_table.rs
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn starts_are_counted_and_only_known_figures_with_bounded_labels_are_served() {
+fn starts_are_counted_and_only_known_metrics_with_bounded_labels_are_served() {
     let mut table = ProcessTable::new([CORE]);
     table.answered(0, ProcessAddress::new(Role::Registry, CORE), registry(true, false));
     for life in [1, 1, 2, 3] {
@@ -99,7 +99,7 @@
         "pinerelay_starts_total{role=\"proxy\",node=\"edge-1\",zone=\"a\"} 2.0",
         "# TYPE pinerelay_proxy_answers_total counter",
         "pinerelay_proxy_answers_total{role=\"proxy\",node=\"edge-1\",zone=\"a\",status=\"200\"} 5.0",
-        "pinerelay_exporter_odd_figures_total 12.0",
+        "pinerelay_exporter_unknown_metrics_total 12.0",
     ] {
         expect_that!(text.lines().any(|l| l == line), eq(true), "{line}");
     }
