--- /dev/null
+++ b/crates/pinectl/src/check.rs
@@ -0,0 +1,116 @@
+//! Whether the body of a call is valid, with the code of the servers of the call, and where in the body it is not.
+
+use pinerelay_config_state::{json, operator_call, validation, Item, ItemSet, Key, Kind, ValidationError};
+use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
+
+use crate::command::KINDS;
+use crate::report::{Cell, Table};
+
+#[cfg(test)]
+mod tests;
+
+/// Parses a body, and validates it on top of the current configuration: its items, or each error with a JSON pointer.
+///
+/// # Errors
+/// Each error of an item, or of items together. A body with a wrong layout has one error, as nothing behind it can be parsed.
+pub fn check(current: &ItemSet, body: &[u8]) -> Result<Vec<Item>, Vec<ValidationError>> {
+    let items = operator_call::parse_update(body).map_err(|error| vec![error])?;
+    let body = json::parse(body, &json::OPERATOR_CALL).unwrap_or_default();
+    let mut errors = Vec::new();
+    for item in &items {
+        if let Err(error) = validation::check_item(item) {
+            errors.push(with_pointer(&body, &item.key, item.version.revision, &error));
+        }
+    }
+    if errors.is_empty() {
+        errors = check_references(current, &items, &body);
+    }
+    if errors.is_empty() {
+        Ok(items)
+    } else {
+        Err(errors)
+    }
+}
+
+/// Errors of items that are not valid together. Each item with an error is left out of the next check: only routes and tenants
+/// have such errors, and nothing refers to them.
+fn check_references(current: &ItemSet, items: &[Item], body: &Value) -> Vec<ValidationError> {
+    let (mut current, mut items) = (current.clone(), items.to_vec());
+    let mut errors = Vec::new();
+    while let Err(error) = validation::accept_update(&current, &items) {
+        let key = key_of(&error.location);
+        let Some(key) = key else {
+            errors.push(error);
+            break;
+        };
+        let requested = items.iter().filter(|item| item.key == key).map(|item| item.version.revision);
+        let newest = requested
+            .max()
+            .filter(|requested| current.get(&key).is_none_or(|old| old.version.revision < *requested));
+        errors.push(match newest {
+            Some(requested) => with_pointer(body, &key, requested, &error),
+            // It is in the current configuration, and the call contradicts it.
+            None => error,
+        });
+        let before = (current.len(), items.len());
+        current.remove(&key);
+        items.retain(|item| item.key != key);
+        if before == (current.len(), items.len()) {
+            break;
+        }
+    }
+    errors
+}
+
+/// The item that a validation error names, such as `Route r/service`.
+fn key_of(location: &str) -> Option<Key> {
+    let (item, _) = location.rsplit_once('/')?;
+    let (kind, name) = item.split_once(' ')?;
+    let kind = Kind::CONFIG.into_iter().find(|known| format!("{known:?}") == kind)?;
+    Some(Key::new(kind, name))
+}
+
+/// A validation error with a pointer into the body.
+fn with_pointer(body: &Value, key: &Key, revision: u64, error: &ValidationError) -> ValidationError {
+    let field = error.location.rsplit_once('/').map_or("", |(_, field)| field);
+    let reason = format!("{}: {}", error.location, error.reason);
+    match pointer(body, key, revision, field) {
+        Some(at) => ValidationError::invalid(at, reason),
+        None => error.clone(),
+    }
+}
+
+/// The pointer to a field of an upserted item; to its record, where the field is in no column.
+fn pointer(body: &Value, key: &Key, revision: u64, field: &str) -> Option<String> {
+    let (list, _) = KINDS.iter().find(|(_, kind)| *kind == key.kind)?;
+    let upserted = body.get("upsert")?.get(*list)?;
+    if key.kind == Kind::Limits {
+        return Some(format!("/upsert/{list}/{field}"));
+    }
+    let columns = upserted.get("column_names")?.as_array()?;
+    let column = |name: &str| columns.iter().position(|column| column.as_str() == Some(name));
+    let (name_column, revision_column) = (column("name")?, column("revision")?);
+    let mut records = upserted.get("records")?.as_array()?.iter();
+    let record = records.position(|record| {
+        record.get(name_column).and_then(|value| value.as_str()) == Some(&key.name)
+            && record.get(revision_column).and_then(|value| value.as_u64()) == Some(revision)
+    })?;
+    let record = format!("/upsert/{list}/records/{record}");
+    // A route's service may be named by its traffic split.
+    let at = column(field).or_else(|| column("traffic_split").filter(|_| field == "service"));
+    Some(at.map_or(record.clone(), |at| format!("{record}/{at}")))
+}
+
+/// Errors as a table.
+pub fn table(errors: &[ValidationError]) -> Table {
+    let mut table = Table::new("errors", &["at", "reason"]);
+    for error in errors {
+        let at = if error.location.is_empty() {
+            Cell::from("(the whole body)")
+        } else {
+            error.location.as_str().into()
+        };
+        table.rows.push(vec![at, error.reason.as_str().into()]);
+    }
+    table
+}
--- a/crates/waggle/src/completion.rs
+++ b/crates/pinectl/src/completion.rs
@@ -1,13 +1,13 @@
 //! Completion for shells.
 
-use crate::command::{CONFIG, JOBS, KINDS, OPTIONS};
+use crate::command::{COMMANDS, CONFIG_COMMANDS, KINDS, OPTIONS};
 
 /// A script for bash, to be sourced.
 pub fn bash() -> String {
     let kinds: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
     let options: Vec<String> = OPTIONS.iter().map(|name| format!("--{name}")).collect();
     format!(
-        r#"_waggle() {{
+        r#"_pinectl() {{
     local word="${{COMP_WORDS[COMP_CWORD]}}" before="${{COMP_WORDS[COMP_CWORD-1]}}"
     case "$before" in
         config) COMPREPLY=($(compgen -W "{config}" -- "$word")) ;;
@@ -15,15 +15,15 @@
         completion) COMPREPLY=($(compgen -W "bash" -- "$word")) ;;
         check|diff|apply|--settings|-s) COMPREPLY=($(compgen -f -- "$word")) ;;
         --at|-a|--internal|-i) COMPREPLY=() ;;
-        waggle) COMPREPLY=($(compgen -W "{jobs} {options}" -- "$word")) ;;
+        pinectl) COMPREPLY=($(compgen -W "{commands} {options}" -- "$word")) ;;
         *) COMPREPLY=($(compgen -W "{options}" -- "$word")) ;;
     esac
 }}
-complete -F _waggle waggle
+complete -F _pinectl pinectl
 "#,
-        config = CONFIG.join(" "),
+        config = CONFIG_COMMANDS.join(" "),
         kinds = kinds.join(" "),
         options = options.join(" "),
-        jobs = JOBS.join(" "),
+        commands = COMMANDS.join(" "),
     )
 }
--- a/crates/waggle/src/main.rs
+++ b/crates/pinectl/src/main.rs
@@ -1,5 +1,5 @@
 //! Starts the operators' client.
 
 fn main() -> std::process::ExitCode {
-    pinerelay_waggle::run::follow()
+    pinerelay_pinectl::execute::main()
 }
--- /dev/null
+++ b/crates/pinectl/src/snapshot.rs
@@ -0,0 +1,204 @@
+//! What all processes answer at one time: the registries first, then the processes that they name.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::time::Duration;
+
+use pinerelay_config_state::ItemSet;
+use pinerelay_node_runtime::internal_port;
+use pinerelay_peer_link::message::{Hello, Role};
+use pinerelay_peer_link::query::{query, ProcessReport, Query, QueryError};
+use thiserror::Error;
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+use crate::command::InternalEndpoints;
+
+/// The client's name in its greeting to processes.
+const OBSERVER_NAME: &str = "pinectl";
+/// A process that has not answered within this time counts as not reached.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The most processes that are queried.
+const MAX_PROCESSES: usize = 2_000;
+/// The most bytes of an answer.
+const MAX_ANSWER_BYTES: u64 = 32 << 20;
+
+/// Where a process is reached.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProcessAddress {
+    /// Its program.
+    pub role: Role,
+    /// Its machine.
+    pub ip: Ipv4Addr,
+}
+
+impl ProcessAddress {
+    fn socket_address(self, first_port: u16) -> SocketAddrV4 {
+        let offset = match self.role {
+            Role::Proxy => internal_port::PROXY,
+            Role::ConfigStore => internal_port::CONFIG_STORE,
+            Role::Registry | Role::Observer => internal_port::REGISTRY,
+        };
+        SocketAddrV4::new(self.ip, first_port.saturating_add(offset))
+    }
+}
+
+/// Why there is no answer of a process.
+#[derive(Debug, Error)]
+pub enum ProcessError {
+    /// The query has failed.
+    #[error(transparent)]
+    Query(#[from] QueryError),
+    /// Another program has answered.
+    #[error("a {0:?} is there")]
+    OtherRole(Role),
+}
+
+/// The answer of a process, or why there is none.
+pub type ProcessAnswer = Result<ProcessReport, ProcessError>;
+
+/// Which processes are queried.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Scope {
+    /// The registries, with the servers that they know.
+    Servers,
+    /// The registries.
+    Registries,
+    /// All processes.
+    All,
+}
+
+/// What all processes have answered.
+#[derive(Debug, Default)]
+pub struct Snapshot {
+    /// The answers.
+    pub answers: BTreeMap<ProcessAddress, ProcessAnswer>,
+    /// The names of machines, as any process told them.
+    pub node_names: BTreeMap<Ipv4Addr, String>,
+    /// Proxies that disappeared without a planned shutdown, by name.
+    pub missing_proxies: BTreeSet<String>,
+}
+
+/// Queries processes, beginning with the registries at these endpoints.
+pub async fn take_snapshot(endpoints: &InternalEndpoints, scope: Scope) -> Snapshot {
+    let mut snapshot = Snapshot::default();
+    let seeds = endpoints.machines.iter().map(|ip| ProcessAddress { role: Role::Registry, ip: *ip });
+    let mut due: BTreeSet<ProcessAddress> = seeds.collect();
+    while !due.is_empty() && snapshot.answers.len() < MAX_PROCESSES {
+        let left = MAX_PROCESSES - snapshot.answers.len();
+        let mut queries = JoinSet::new();
+        for process in due.into_iter().take(left) {
+            queries.spawn(query_process(process, endpoints.first_port, scope));
+        }
+        while let Some(finished) = queries.join_next().await {
+            if let Ok((process, answer)) = finished {
+                snapshot.add(process, answer);
+            }
+        }
+        due = snapshot.unqueried(scope);
+    }
+    snapshot
+}
+
+async fn query_process(
+    process: ProcessAddress,
+    first_port: u16,
+    scope: Scope,
+) -> (ProcessAddress, ProcessAnswer) {
+    let process_id = u64::from(std::process::id());
+    let hello = Hello { node: OBSERVER_NAME.into(), ip: String::new(), role: Role::Observer, process_id };
+    let with_servers = scope == Scope::Servers;
+    let question = Query { role: process.role, with_servers, max_bytes: MAX_ANSWER_BYTES };
+    let answer = query(process.socket_address(first_port), &hello, question);
+    let answer = timeout(QUERY_TIMEOUT, answer).await.unwrap_or(Err(QueryError::TimedOut));
+    let answer = answer.map_err(ProcessError::from).and_then(|report| check_role(process.role, report));
+    (process, answer)
+}
+
+fn check_role(role: Role, report: ProcessReport) -> ProcessAnswer {
+    if report.hello.role == role {
+        Ok(report)
+    } else {
+        Err(ProcessError::OtherRole(report.hello.role))
+    }
+}
+
+impl Snapshot {
+    /// Adds the answer of one process.
+    pub fn add(&mut self, process: ProcessAddress, answer: ProcessAnswer) {
+        if let Ok(report) = &answer {
+            self.node_names.insert(process.ip, report.hello.node.clone());
+            if let Some(list) = &report.process_list {
+                for hello in &list.linked {
+                    if let Ok(ip) = hello.ip.parse() {
+                        self.node_names.entry(ip).or_insert_with(|| hello.node.clone());
+                    }
+                }
+                self.missing_proxies.extend(list.missing.iter().cloned());
+            }
+        }
+        self.answers.insert(process, answer);
+    }
+
+    /// The processes that registries have named and that were not queried yet.
+    fn unqueried(&self, scope: Scope) -> BTreeSet<ProcessAddress> {
+        let mut named = BTreeSet::new();
+        for list in self.reports(Role::Registry).filter_map(|(_, report)| report.process_list.as_ref()) {
+            let linked = list.linked.iter().map(|hello| (hello.role, &hello.ip));
+            // A voter is expected to run even when nobody is linked to it.
+            let voters = list.voters.iter().flat_map(|ip| [(Role::Registry, ip), (Role::ConfigStore, ip)]);
+            let addresses = linked.chain(voters);
+            named.extend(
+                addresses.filter_map(|(role, ip)| Some(ProcessAddress { role, ip: ip.parse().ok()? })),
+            );
+        }
+        named.retain(|process| match process.role {
+            Role::Observer => false,
+            Role::Registry => !self.answers.contains_key(process),
+            Role::Proxy | Role::ConfigStore => scope == Scope::All && !self.answers.contains_key(process),
+        });
+        named
+    }
+
+    /// The processes of a role that have answered.
+    pub fn reports(&self, role: Role) -> impl Iterator<Item = (Ipv4Addr, &ProcessReport)> {
+        let answers = self.answers.iter().filter(move |(process, _)| process.role == role);
+        answers.filter_map(|(process, answer)| Some((process.ip, answer.as_ref().ok()?)))
+    }
+
+    /// The newest of the items that registries have sent.
+    pub fn items(&self) -> ItemSet {
+        let mut items = ItemSet::default();
+        for (_, report) in self.reports(Role::Registry) {
+            items.merge_all(report.items.iter().cloned());
+        }
+        items
+    }
+
+    /// Why what the registries have answered may not be complete, one reason each.
+    pub fn gaps(&self) -> Vec<String> {
+        let registries = self.answers.iter().filter(|(process, _)| process.role == Role::Registry);
+        let mut gaps: Vec<String> = registries
+            .flat_map(|(process, answer)| match answer {
+                Err(error) => vec![format!("the registry at {} was not reached: {error}", process.ip)],
+                Ok(report) => registry_gaps(process.ip, report),
+            })
+            .collect();
+        if self.answers.len() >= MAX_PROCESSES {
+            gaps.push(format!("no more than {MAX_PROCESSES} processes are queried"));
+        }
+        gaps
+    }
+}
+
+fn registry_gaps(ip: Ipv4Addr, report: &ProcessReport) -> Vec<String> {
+    let conditions = [
+        ("registry_majority", "reaches no majority of the core"),
+        ("registry_complete", "has not the complete configuration"),
+    ];
+    conditions
+        .into_iter()
+        .filter(|(metric, _)| report.metric(metric) == Some(0.0))
+        .map(|(_, reason)| format!("the registry at {ip} {reason}"))
+        .collect()
+}
--- a/crates/waggle/tests/loopback.rs
+++ b/crates/pinectl/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! The client's jobs against a played registry on loopback.
+//! The client's actions against a stand-in of a registry on loopback.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -18,8 +18,8 @@
 use pinerelay_config_state::{operator_call, validation, ItemSet};
 use pinerelay_peer_link::codec::{self, GREETING};
 use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, ProcessList, Role};
-use pinerelay_waggle::command::{From, Job};
-use pinerelay_waggle::run::{carry_out, RunError, DONE, PARTIAL, REFUSED};
+use pinerelay_pinectl::command::{Action, Invocation, TargetOptions};
+use pinerelay_pinectl::execute::{execute, ExecuteError, ExitStatus, Outcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
@@ -86,37 +86,37 @@
     }
 }
 
-async fn registry() -> From {
+async fn registry() -> TargetOptions {
     let (listener, at) = bound().await;
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::task::spawn_local(link(stream));
         }
     });
-    From { at: vec![at], settings: None, internal: Some(at.port()) }
+    TargetOptions { control_addresses: vec![at], settings: None, first_internal_port: Some(at.port()) }
 }
 
 /// A control address over a configuration; gives so many answers 503 to updates that it has taken, first.
-async fn control(cells: Rc<RefCell<ItemSet>>, unclear: usize) -> SocketAddrV4 {
+async fn control(items: Rc<RefCell<ItemSet>>, unclear: usize) -> SocketAddrV4 {
     let (listener, at) = bound().await;
     let unclear = Rc::new(Cell::new(unclear));
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (cells, unclear) = (cells.clone(), unclear.clone());
+            let (items, unclear) = (items.clone(), unclear.clone());
             let serve = service_fn(move |request: Request<Incoming>| {
-                let (cells, unclear) = (cells.clone(), unclear.clone());
+                let (items, unclear) = (items.clone(), unclear.clone());
                 async move {
                     let update = request.uri().query() == Some("call=config.update");
                     let body = request.into_body().collect().await.expect("a body").to_bytes();
-                    let mut cells = cells.borrow_mut();
+                    let mut items = items.borrow_mut();
                     let (status, body) = if !update {
-                        (200, operator_call::render_configuration(&cells))
+                        (200, operator_call::render_configuration(&items))
                     } else {
                         match operator_call::parse_update(&body)
-                            .and_then(|items| validation::accept_update(&cells, &items))
+                            .and_then(|call| validation::accept_update(&items, &call))
                         {
                             Ok(taken) => {
-                                cells.merge_all(taken);
+                                items.merge_all(taken);
                                 let left = unclear.get();
                                 unclear.set(left.saturating_sub(1));
                                 (if left > 0 { 503 } else { 200 }, "{}".into())
@@ -140,7 +140,7 @@
 
 impl File {
     fn new(name: &str, text: &str) -> File {
-        let path = std::env::temp_dir().join(format!("waggle-{}-{name}.json", std::process::id()));
+        let path = std::env::temp_dir().join(format!("pinectl-{}-{name}.json", std::process::id()));
         std::fs::write(&path, text).expect("a file");
         File(path)
     }
@@ -152,27 +152,45 @@
     }
 }
 
+/// Executes an action; gives what it prints and how it ends.
+async fn run(
+    action: Action,
+    targets: &TargetOptions,
+    as_json: bool,
+) -> std::result::Result<(String, ExitStatus), ExecuteError> {
+    let targets = TargetOptions {
+        control_addresses: targets.control_addresses.clone(),
+        settings: targets.settings.clone(),
+        first_internal_port: targets.first_internal_port,
+    };
+    let Outcome { text, status } = execute(&Invocation { action, targets, as_json }).await?;
+    Ok((text, status))
+}
+
 #[gtest]
 #[tokio::test]
 async fn what_a_registry_tells_is_listed_and_what_is_missing_said() {
     let work = async {
         let from = registry().await;
-        let done = async |job, json| carry_out(job, &from, json).await.expect("a report");
-        let (text, code) = done(Job::Nodes, false).await;
-        expect_that!(code, eq(DONE));
+        let done = async |job, json| run(job, &from, json).await.expect("a report");
+        let (text, code) = done(Action::Nodes, false).await;
+        expect_that!(code, eq(ExitStatus::Done));
         expect_that!(text, contains_regex(r"registry +core-1 +127\.0\.0\.1 +a +yes +majority=1 duties=5"));
         expect_that!(text, contains_regex(r"config_store +core-1 +127\.0\.0\.1 +a +no "));
-        expect_that!(text, contains_regex(r"proxy +edge-9 +- +- +no +has gone without a word"));
-        let (text, code) = done(Job::Servers, true).await;
-        expect_that!(code, eq(DONE));
+        expect_that!(
+            text,
+            contains_regex(r"proxy +edge-9 +- +- +no +disappeared without a planned shutdown")
+        );
+        let (text, code) = done(Action::Servers, true).await;
+        expect_that!(code, eq(ExitStatus::Done));
         expect_that!(text, contains_substring(r#"[{"service":"s1","ready":1,"draining":0,"lost":1}]"#));
         expect_that!(
             text,
             contains_substring(r#""id":"i2","address":"127.0.0.1:2","zone":"a","state":"lost""#)
         );
         expect_that!(text, not(contains_substring("i3")));
-        let (text, code) = done(Job::Duties, false).await;
-        expect_that!((code, text.lines().count()), eq((PARTIAL, 3)));
+        let (text, code) = done(Action::Duties, false).await;
+        expect_that!((code, text.lines().count()), eq((ExitStatus::Partial, 3)));
         expect_that!(text, contains_substring("partial: the registries that answered hold 5 of"));
     };
     LocalSet::new().run_until(work).await;
@@ -183,14 +201,14 @@
 async fn one_registry_that_is_away_makes_a_list_partial_and_none_an_error() {
     let work = async {
         let mut from = registry().await;
-        from.at.push(SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 77), 1));
-        let (text, code) = carry_out(Job::Servers, &from, true).await.expect("a report");
-        expect_that!(code, eq(PARTIAL));
+        from.control_addresses.push(SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 77), 1));
+        let (text, code) = run(Action::Servers, &from, true).await.expect("a report");
+        expect_that!(code, eq(ExitStatus::Partial));
         expect_that!(text, starts_with(r#"{"partial":true,"missing":["the registry at 127.0.0.77 was not"#));
-        from.at.remove(0);
-        let error = carry_out(Job::Servers, &from, true).await.expect_err("nobody is there");
-        expect_that!(error, matches_pattern!(RunError::Unreached(len(eq(1)))));
-        expect_that!(error.code(), eq(PARTIAL));
+        from.control_addresses.remove(0);
+        let error = run(Action::Servers, &from, true).await.expect_err("nobody is there");
+        expect_that!(error, matches_pattern!(ExecuteError::Unreached(len(eq(1)))));
+        expect_that!(error.status(), eq(ExitStatus::Partial));
     };
     LocalSet::new().run_until(work).await;
 }
@@ -199,49 +217,60 @@
 #[tokio::test]
 async fn a_call_is_compared_sent_again_unchanged_and_told() {
     let work = async {
-        let cells = Rc::new(RefCell::new(ItemSet::default()));
-        let (first, second) = (control(cells.clone(), 1).await, control(cells.clone(), 0).await);
-        let from = From { at: vec![first, second], ..From::default() };
+        let items = Rc::new(RefCell::new(ItemSet::default()));
+        let (first, second) = (control(items.clone(), 1).await, control(items.clone(), 0).await);
+        let from = TargetOptions { control_addresses: vec![first, second], ..TargetOptions::default() };
         let body = r#"{"upsert":{"services":{"column_names":["name","revision","max_conns"],"records":[["s1",N,M]]}}}"#;
         let call = |n: &str, m: &str| File::new(n, &body.replace('N', n).replace('M', m));
-        let done = async |job| carry_out(job, &from, false).await.expect("a report");
+        let done = async |job| run(job, &from, false).await.expect("a report");
         let file = call("7", "1");
-        let (text, code) = done(Job::Apply(file.0.clone(), true)).await;
-        expect_that!(code, eq(DONE));
+        let (text, code) = done(Action::Apply { path: file.0.clone(), is_dry_run: true }).await;
+        expect_that!(code, eq(ExitStatus::Done));
         expect_that!(text, contains_substring("a dry run, nothing was sent"));
-        expect_that!(cells.borrow().len(), eq(0));
-        let (text, code) = done(Job::Apply(file.0.clone(), false)).await;
-        expect_that!(code, eq(DONE));
-        expect_that!(text, contains_substring(format!("200 by {second}: taken")));
-        expect_that!(done(Job::Items(None)).await.0, contains_regex("services +s1 +7"));
-        expect_that!(done(Job::Diff(file.0.clone())).await.0, ends_with("effective: 0\n"));
+        expect_that!(items.borrow().len(), eq(0));
+        let (text, code) = done(Action::Apply { path: file.0.clone(), is_dry_run: false }).await;
+        expect_that!(code, eq(ExitStatus::Done));
+        expect_that!(text, contains_substring(format!("200 by {second}: accepted")));
+        expect_that!(done(Action::Items(None)).await.0, contains_regex("services +s1 +7"));
+        expect_that!(done(Action::Diff(file.0.clone())).await.0, ends_with("effective: 0\n"));
         let next = call("8", "2");
-        expect_that!(done(Job::Diff(next.0.clone())).await.0, contains_regex("newer +7 +8 +max_conns +1 +2"));
+        expect_that!(
+            done(Action::Diff(next.0.clone())).await.0,
+            contains_regex("update +7 +8 +max_conns +1 +2")
+        );
         let odd = call("9", "-1");
-        let (text, code) = done(Job::Apply(odd.0.clone(), false)).await;
-        expect_that!(code, eq(REFUSED));
+        let (text, code) = done(Action::Apply { path: odd.0.clone(), is_dry_run: false }).await;
+        expect_that!(code, eq(ExitStatus::Rejected));
         expect_that!(text, contains_substring("/upsert/services/records/0/2"));
-        let (text, code) = done(Job::Read).await;
-        expect_that!(code, eq(DONE));
+        let (text, code) = done(Action::Read).await;
+        expect_that!(code, eq(ExitStatus::Done));
         expect_that!(text, contains_substring(r#""services":{"column_names":"#));
         // What was dropped at a higher revision shows once the call was taken, and not before.
         let drop = File::new("drop", r#"{"remove":{"services":[{"name":"s1","revision":20}]}}"#);
-        let (text, code) = done(Job::Apply(drop.0.clone(), false)).await;
-        expect_that!((code, text.contains("drop")), eq((DONE, true)));
-        let (text, code) = done(Job::Apply(next.0.clone(), false)).await;
-        expect_that!(code, eq(DONE));
+        let (text, code) = done(Action::Apply { path: drop.0.clone(), is_dry_run: false }).await;
+        expect_that!((code, text.contains("remove")), eq((ExitStatus::Done, true)));
+        let (text, code) = done(Action::Apply { path: next.0.clone(), is_dry_run: false }).await;
+        expect_that!(code, eq(ExitStatus::Done));
         expect_that!(text, contains_substring("without effect on s1"));
         // It was taken, and nobody says so.
-        let mute = From { at: vec![control(cells.clone(), 9).await], ..From::default() };
+        let mute = TargetOptions {
+            control_addresses: vec![control(items.clone(), 9).await],
+            ..TargetOptions::default()
+        };
         let last = call("30", "3");
-        let (text, code) = carry_out(Job::Apply(last.0.clone(), false), &mute, true).await.expect("a report");
-        expect_that!(code, eq(PARTIAL));
+        let (text, code) = run(Action::Apply { path: last.0.clone(), is_dry_run: false }, &mute, true)
+            .await
+            .expect("a report");
+        expect_that!(code, eq(ExitStatus::Partial));
         expect_that!(text, starts_with(r#"{"partial":true"#));
         expect_that!(text, contains_substring("apply it again unchanged"));
         // Nobody is there.
-        let away = From { at: vec![SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 77), 1)], ..From::default() };
-        let error = carry_out(Job::Read, &away, false).await.expect_err("nobody is there");
-        expect_that!(error.code(), eq(PARTIAL));
+        let away = TargetOptions {
+            control_addresses: vec![SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 77), 1)],
+            ..TargetOptions::default()
+        };
+        let error = run(Action::Read, &away, false).await.expect_err("nobody is there");
+        expect_that!(error.status(), eq(ExitStatus::Partial));
     };
     LocalSet::new().run_until(work).await;
 }
