--- a/crates/admission/src/quota_allocator/tests.rs
+++ b/crates/admission/src/quota_allocator/tests.rs
@@ -13,11 +13,11 @@
     let quota = Quota { rate: 50.0, burst: 30.0 };
     let mut allocator = QuotaAllocator::new(0, quota);
     let mut granted: Vec<(Micros, f64)> = Vec::new();
-    let mut lot = 9;
+    let mut random = 9;
     let mut now = 0;
     for _ in 0..5_000 {
-        now += (mountbend::measure::lot(&mut lot) * 20_000.0) as Micros;
-        let want = (mountbend::measure::lot(&mut lot) * 8.0).floor();
+        now += (mountbend::measure::lot(&mut random) * 20_000.0) as Micros;
+        let want = (mountbend::measure::lot(&mut random) * 8.0).floor();
         if let Ok(units) = allocator.draw(now, "n", false, &usage(want, 0.0)).units {
             granted.push((now, units));
         }
@@ -50,15 +50,15 @@
 fn shares_follow_what_is_drawn_and_never_sum_up_to_more_than_the_rate() {
     let mut allocator = QuotaAllocator::new(0, Quota { rate: 100.0, burst: 100.0 });
     allocator.knows_all();
-    let mut lot = 4;
+    let mut random = 4;
     let mut holds = [0.0; 10];
     for step in 1..2_000_u64 {
-        let node = (mountbend::measure::lot(&mut lot) * 10.0) as usize;
+        let node = (mountbend::measure::lot(&mut random) * 10.0) as usize;
         // Whose clients are many changes on the way.
         let busy = if step < 1_000 { 2 } else { 7 };
         let want = if node == busy { 8.0 } else { 1.0 };
-        let told = Usage { held_share: holds[node], ..usage(want, 0.0) };
-        let share = allocator.draw(step * 20_000, &format!("n{node}"), false, &told).share;
+        let reported = Usage { held_share: holds[node], ..usage(want, 0.0) };
+        let share = allocator.draw(step * 20_000, &format!("n{node}"), false, &reported).share;
         holds[node] = share;
         let held: f64 = allocator.lessees.values().map(Lessee::share).sum();
         // What was told before counts until the next word: it may stand beside what has been given on since.
@@ -116,7 +116,7 @@
     expect_that!(allocator.level(), eq(30.0));
     // A count that has been taken over takes out what was spent since it began, and nothing older.
     let mut next = QuotaAllocator::new(0, Quota { rate: 10.0, burst: 50.0 });
-    let told = Usage { share_spent: 90.0, share_spent_lately: 40.0, held_share: 0.5, ..usage(0.0, 0.0) };
-    next.draw(1_000_000, "a", false, &told);
+    let reported = Usage { share_spent: 90.0, share_spent_lately: 40.0, held_share: 0.5, ..usage(0.0, 0.0) };
+    next.draw(1_000_000, "a", false, &reported);
     expect_that!(next.level(), eq(10.0 - 5.0));
 }
--- a/crates/admission/src/retry_budget/tests.rs
+++ b/crates/admission/src/retry_budget/tests.rs
@@ -22,12 +22,12 @@
 fn eleven_nodes_stay_within_the_bound_in_every_window() {
     let bounds = RetryBounds::default();
     let mut nodes: Vec<RetryBudget> = (0..11).map(|_| RetryBudget::new(bounds)).collect();
-    let mut lot = 3;
+    let mut random = 3;
     let (mut requests, mut retries): (Vec<Micros>, Vec<Micros>) = Default::default();
     for now in (0..40_000_000_u64).step_by(5_000) {
         // Quiet, then busy, then quiet.
         let busy = (10_000_000..25_000_000).contains(&now);
-        let node = (mountbend::measure::lot(&mut lot) * 11.0) as usize;
+        let node = (mountbend::measure::lot(&mut random) * 11.0) as usize;
         if busy || now % 50_000 == 0 {
             nodes[node].count_request(now, "s");
             requests.push(now);
--- a/crates/admission/tests/quota.rs
+++ b/crates/admission/tests/quota.rs
@@ -31,8 +31,8 @@
     let mut granted = drain(&mut allocator, 4 * SECOND, "b", false);
     allocator.proxy_returned(4 * SECOND, "a");
     for (spent, at) in [(0.0, 4 * SECOND), (0.0, 4 * SECOND + 1)] {
-        let told = Usage { share_spent: spent, ..usage(1_000.0, share) };
-        granted += allocator.draw(at, "a", false, &told).units.unwrap_or(0.0);
+        let reported = Usage { share_spent: spent, ..usage(1_000.0, share) };
+        granted += allocator.draw(at, "a", false, &reported).units.unwrap_or(0.0);
     }
     expect_that!(granted, all!(ge(QUOTA.burst - 2.0), le(QUOTA.burst + 1.0)), "with what it had not spent");
 }
@@ -57,7 +57,7 @@
 }
 
 /// How many requests run that come every 10 ms from `from` on, while no ask is answered. What it was told was asked at 0.
-fn lives(from: Micros, until: Micros) -> Vec<Micros> {
+fn runs_of(from: Micros, until: Micros) -> Vec<Micros> {
     let mut cache = LeaseCache::new();
     cache.admit(0, "t", QUOTA, 0);
     cache.lease_requests(0);
@@ -80,11 +80,11 @@
 #[gtest]
 fn a_share_counts_from_the_first_ask_that_failed_and_not_for_ever() {
     // 50 a second, from the ask on: not from when it was told.
-    let runs = lives(10 * SECOND, 11 * SECOND);
+    let runs = runs_of(10 * SECOND, 11 * SECOND);
     expect_that!(runs.len(), all!(ge(45), le(50)));
     // Who has drawn nothing for twenty seconds may have lost its share to others.
-    expect_that!(lives(19 * SECOND, 20 * SECOND), is_empty());
+    expect_that!(runs_of(19 * SECOND, 20 * SECOND), is_empty());
     // One that is cut off lives on it for a minute.
-    let runs = lives(10 * SECOND, 70 * SECOND);
+    let runs = runs_of(10 * SECOND, 70 * SECOND);
     expect_that!(runs.last(), some(all!(gt(&(58 * SECOND)), lt(&(60 * SECOND)))));
 }
--- a/crates/config-state/examples/catch_up.rs
+++ b/crates/config-state/examples/catch_up.rs
@@ -57,16 +57,16 @@
     let begun = Instant::now();
     let (mut all, mut items, mut most, mut messages) = (bytes(&new.digest()), 0, 0, 1);
     let (mut from, mut to) = (&mut old, &mut new);
-    let mut said = (Vec::new(), from.sync_request());
-    while !(said.0.is_empty() && said.1.is_empty()) {
-        let size = [bytes(&said.0), bytes(&said.1)];
+    let mut sent = (Vec::new(), from.sync_request());
+    while !(sent.0.is_empty() && sent.1.is_empty()) {
+        let size = [bytes(&sent.0), bytes(&sent.1)];
         all += size[0] + size[1];
         items += size[0];
         most = most.max(size[0] + size[1]);
         messages += 1;
-        to.merge_all(said.0);
-        let answer = to.sync_reply(&said.1);
-        said = (answer.items, answer.parts);
+        to.merge_all(sent.0);
+        let answer = to.sync_reply(&sent.1);
+        sent = (answer.items, answer.parts);
         std::mem::swap(&mut from, &mut to);
     }
     assert_eq!(old.digest(), new.digest());
@@ -77,16 +77,16 @@
 /// The same over a link of 2 Mbit/s and 20 ms each way: how long it takes, and the longest that a heartbeat
 /// waits behind a message.
 fn mend_over_a_link(old: &ItemSet, new: &ItemSet, what: &str) {
-    let (mut copies, mut said) = ([old.clone(), new.clone()], (Vec::new(), old.sync_request()));
+    let (mut copies, mut sent) = ([old.clone(), new.clone()], (Vec::new(), old.sync_request()));
     let on_the_way = |bytes: usize| bytes as f64 / 250_000.0 + 0.02;
     let (mut now, mut longest, mut to) = (0.0, 0.0_f64, 1);
-    while !(said.0.is_empty() && said.1.is_empty()) {
+    while !(sent.0.is_empty() && sent.1.is_empty()) {
         // Nothing else of the talk is on the link: at worst a heartbeat comes right behind the message.
-        let took = on_the_way(bytes(&said.0) + bytes(&said.1));
+        let took = on_the_way(bytes(&sent.0) + bytes(&sent.1));
         (now, longest) = (now + took, longest.max(took));
-        copies[to].merge_all(said.0);
-        let answer = copies[to].sync_reply(&said.1);
-        said = (answer.items, answer.parts);
+        copies[to].merge_all(sent.0);
+        let answer = copies[to].sync_reply(&sent.1);
+        sent = (answer.items, answer.parts);
         to = 1 - to;
     }
     println!("{what} at 2 Mbit/s, 20 ms away: {now:.2} s, a heartbeat waits for {longest:.2} s at most");
@@ -136,9 +136,9 @@
         let call = [tenant(7, 1_000_000)];
         timed("accept_update of one changed tenant", 10, || accept_update(&item_set, &call).expect("fits"));
         timed("IndexedItems::new", 10, || IndexedItems::new(item_set.clone()));
-        let standing = IndexedItems::new(item_set.clone());
+        let current = IndexedItems::new(item_set.clone());
         timed("IndexedItems::taken of one changed tenant", 10_000, || {
-            standing.accept_update(&call).expect("fits")
+            current.accept_update(&call).expect("fits")
         });
         timed("RoutingTable::from_items", 10, || RoutingTable::from_items(&item_set));
         let mut table = RoutingTable::from_items(&item_set);
--- a/crates/config-state/src/validation/tests.rs
+++ b/crates/config-state/src/validation/tests.rs
@@ -20,9 +20,9 @@
 
 #[gtest]
 fn what_the_protocol_calls_invalid_is_and_all_else_is_not() {
-    let judged =
+    let validated =
         |route: &str| accept_update(&ItemSet::default(), &call(route, "", "")).map(|newer| newer.len());
-    expect_that!(judged(GOOD), ok(eq(&3)));
+    expect_that!(validated(GOOD), ok(eq(&3)));
     let cases = [
         ("safe", "idempotent", "Route r/route_type: safe or unsafe is wanted"),
         ("a.example", "", "Route r/host: a text that is not empty is wanted"),
@@ -33,10 +33,10 @@
         ("/x/", "x/", "Route r/path_prefix: a path from slash to slash is wanted"),
     ];
     for (from, to, why) in cases {
-        let error = judged(&GOOD.replace(from, to)).expect_err(to);
+        let error = validated(&GOOD.replace(from, to)).expect_err(to);
         expect_that!(error.to_string(), starts_with(why));
     }
-    expect_that!(judged(&GOOD.replace("400ms", "62499ms")), ok(eq(&3)));
+    expect_that!(validated(&GOOD.replace("400ms", "62499ms")), ok(eq(&3)));
 }
 
 #[gtest]
@@ -66,8 +66,8 @@
     let first = call(GOOD, r#"["t1",5,["k1"]]"#, "");
     item_set.merge_all(accept_update(&item_set, &first).expect("valid"));
     expect_that!(accept_update(&item_set, &first), ok(is_empty()), "the same once more");
-    let clashes = |standing: &ItemSet, tenants: &str, remove: &str| {
-        let error = accept_update(standing, &call(GOOD, tenants, remove)).expect_err("a conflict");
+    let clashes = |current: &ItemSet, tenants: &str, remove: &str| {
+        let error = accept_update(current, &call(GOOD, tenants, remove)).expect_err("a conflict");
         expect_that!(error.is_conflict(), eq(true));
         expect_that!(error.location, eq("Tenant t1/revision"));
     };
--- a/crates/config-state/tests/anti_entropy.rs
+++ b/crates/config-state/tests/anti_entropy.rs
@@ -81,10 +81,10 @@
     fn copies_become_equal_over_a_channel_that_loses_repeats_and_reorders(
         seed: u64, n in 0..900_usize, changes in 0..300_usize, size in 1..600_usize,
     ) {
-        let mut lot = seed;
+        let mut random = seed;
         let mut next = |below: usize| {
-            lot = mix64(lot.wrapping_add(0x9e37_79b9_7f4a_7c15));
-            lot as usize % below
+            random = mix64(random.wrapping_add(0x9e37_79b9_7f4a_7c15));
+            random as usize % below
         };
         let mut copies = [ItemSet::default(), ItemSet::default()];
         let mut newest = ItemSet::default();
@@ -139,7 +139,7 @@
             if forget == 0 { item_set.remove(&new.key) } else { item_set.merge(new); }
         }
         let again = copy(item_set.iter().cloned());
-        prop_assert_eq!(told(&item_set), told(&again));
+        prop_assert_eq!(reported(&item_set), reported(&again));
         let digests = item_set.range_digests();
         prop_assert_eq!(digests.iter().fold(0, |sum: u64, d| sum.wrapping_add(*d)), item_set.digest());
         for (n, digest) in digests.into_iter().enumerate() {
@@ -174,7 +174,7 @@
 }
 
 /// All that a copy tells one to whom every range differs.
-fn told(item_set: &ItemSet) -> Vec<SyncPart> {
+fn reported(item_set: &ItemSet) -> Vec<SyncPart> {
     let (mut all, mut open) = (Vec::new(), item_set.sync_request());
     while let Some(part) = open.pop() {
         if let SyncPart::Digests { range, first_child: from, digests: sums } = &part {
--- a/crates/config-state/tests/hostile_json.rs
+++ b/crates/config-state/tests/hostile_json.rs
@@ -162,24 +162,24 @@
 
 #[gtest]
 fn what_no_request_can_hold_is_refused() {
-    let judged = |tenant: &str, key: &str, prefix: &str| {
+    let validated = |tenant: &str, key: &str, prefix: &str| {
         let call = change(tenant, 1, key, prefix);
         let whole = accept_update(&ItemSet::default(), &call);
         expect_that!(IndexedItems::default().accept_update(&call), eq(&whole));
         whole.map(|items| items.len()).map_err(|error| error.to_string())
     };
-    expect_that!(judged("yefi830", "xd9dnn2ctnfzs989anu6", "/x/"), ok(eq(&3)));
-    expect_that!(judged("A tenant, 7~", "a b=\u{e9}", "/x/%20;=@/"), ok(eq(&3)));
+    expect_that!(validated("yefi830", "xd9dnn2ctnfzs989anu6", "/x/"), ok(eq(&3)));
+    expect_that!(validated("A tenant, 7~", "a b=\u{e9}", "/x/%20;=@/"), ok(eq(&3)));
     let long = "n".repeat(operator_call::MAX_NAME_LENGTH + 1);
     for tenant in ["caf\u{e9}", " a", "a ", "a\tb", "a\u{0}", "a\r\nX-Tenant: b", "\u{7f}", &long] {
-        expect_that!(judged(tenant, "k", "/x/"), err(anything()), "{tenant:?}");
+        expect_that!(validated(tenant, "k", "/x/"), err(anything()), "{tenant:?}");
     }
     let long = "k".repeat(pinerelay_config_state::request_syntax::MAX_KEY_LENGTH + 1);
     for key in [" k", "k ", "\tk", "k\n", "k\u{0}", "k\u{7f}", "k\u{fffd}", &long] {
-        expect_that!(judged("t", key, "/x/"), err(contains_substring("api_keys")), "{key:?}");
+        expect_that!(validated("t", key, "/x/"), err(contains_substring("api_keys")), "{key:?}");
     }
     for prefix in ["/x y/", "/x?y/", "/x#y/", "/\u{0}/", "/x\r\n/", "/\u{7f}/"] {
-        expect_that!(judged("t", "k", prefix), err(contains_substring("path_prefix")), "{prefix:?}");
+        expect_that!(validated("t", "k", prefix), err(contains_substring("path_prefix")), "{prefix:?}");
     }
 }
 
@@ -188,20 +188,20 @@
     let old = change("caf\u{e9}", 5, "k\n", "/x y/");
     let mut item_set = ItemSet::default();
     item_set.merge_all(old.clone());
-    let standing = IndexedItems::new(item_set.clone());
+    let current = IndexedItems::new(item_set.clone());
     expect_that!(accept_update(&item_set, &old), ok(is_empty()));
-    expect_that!(standing.accept_update(&old), ok(is_empty()));
+    expect_that!(current.accept_update(&old), ok(is_empty()));
     let older = change("caf\u{e9}", 3, "k\n", "/x y/");
-    expect_that!(standing.accept_update(&older), ok(is_empty()));
+    expect_that!(current.accept_update(&older), ok(is_empty()));
     let other = change("t2", 6, "k2", "/x/");
     expect_that!(
-        standing.accept_update(&other).map(|items| items.len()),
+        current.accept_update(&other).map(|items| items.len()),
         ok(eq(&3)),
         "others are taken beside it"
     );
     expect_that!(accept_update(&item_set, &other).map(|items| items.len()), ok(eq(&3)));
     let newer = change("caf\u{e9}", 7, "k", "/x/");
-    expect_that!(standing.accept_update(&newer), err(contains_display("X-Tenant")));
+    expect_that!(current.accept_update(&newer), err(contains_display("X-Tenant")));
     expect_that!(RoutingTable::from_items(&item_set).tenant_by_name("caf\u{e9}"), some(anything()));
 }
 
@@ -217,11 +217,11 @@
         item_set.merge(Item::with_revision(Key::new(kind, "deep"), 1, Some(deep.clone())));
         let call = change("t", 1, "k", "/x/");
         expect_that!(accept_update(&item_set, &call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
-        let mut standing = IndexedItems::new(item_set);
-        expect_that!(standing.accept_update(&call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
-        standing.merge_all(call);
-        expect_that!(RoutingTable::from_items(standing.items()).tenant_by_key("k"), some(anything()));
+        let mut current = IndexedItems::new(item_set);
+        expect_that!(current.accept_update(&call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
+        current.merge_all(call);
+        expect_that!(RoutingTable::from_items(current.items()).tenant_by_key("k"), some(anything()));
         let drops = Item::with_revision(Key::new(kind, "deep"), 2, None);
-        expect_that!(standing.accept_update(&[drops]).map(|items| items.len()), ok(eq(&1)), "{kind:?}");
+        expect_that!(current.accept_update(&[drops]).map(|items| items.len()), ok(eq(&1)), "{kind:?}");
     }
 }
--- a/crates/config-state/tests/validation.rs
+++ b/crates/config-state/tests/validation.rs
@@ -44,17 +44,17 @@
         if calls.len() % 4 == 0 {
             item_set.merge_all(unchecked);
         }
-        let mut standing = IndexedItems::new(item_set.clone());
+        let mut current = IndexedItems::new(item_set.clone());
         for call in &calls[..settled.min(calls.len())] {
-            let (all, by_index) = (accept_update(&item_set, call), standing.accept_update(call));
+            let (all, by_index) = (accept_update(&item_set, call), current.accept_update(call));
             prop_assert_eq!(by_index.as_ref().ok(), all.as_ref().ok(), "{:?}", all);
             prop_assert_eq!(by_index.is_err_and(|e| e.is_conflict()), all.as_ref().is_err_and(|e| e.is_conflict()));
             let newer = all.unwrap_or_default();
             item_set.merge_all(newer.iter().cloned());
-            standing.merge_all(newer);
+            current.merge_all(newer);
         }
         // The rest as one turn's, over what is settled.
-        let mut turn = standing.overlay();
+        let mut turn = current.overlay();
         for call in &calls[settled.min(calls.len())..] {
             let all = accept_update(&item_set, call);
             prop_assert_eq!(turn.accept_update(call).ok(), all.clone().ok(), "{:?}", all);
@@ -88,8 +88,8 @@
     };
     let mut item_set = ItemSet::default();
     item_set.merge_all([tenant("a", 1, "k"), tenant("b", 1, "k")]);
-    let standing = IndexedItems::new(item_set);
-    let error = standing.accept_update(&[tenant("c", 1, "x")]).expect_err("what stands does not fit");
+    let current = IndexedItems::new(item_set);
+    let error = current.accept_update(&[tenant("c", 1, "x")]).expect_err("what stands does not fit");
     expect_that!(error.to_string(), eq("Tenant b/api_keys: a has the same key"));
-    expect_that!(standing.accept_update(&[tenant("b", 2, "y")]), ok(len(eq(1))));
+    expect_that!(current.accept_update(&[tenant("b", 2, "y")]), ok(len(eq(1))));
 }
--- a/crates/consensus/examples/turn.rs
+++ b/crates/consensus/examples/turn.rs
@@ -56,7 +56,7 @@
         let mut all =
             Stores { stores: Vec::new(), events: VecDeque::new(), answer: None, spent: Default::default() };
         for (at, name) in NAMES.iter().enumerate() {
-            let kept = PersistentState {
+            let retained = PersistentState {
                 incarnation: Some(0),
                 is_complete: true,
                 membership: Membership::first(NAMES.map(String::from)),
@@ -64,7 +64,7 @@
                 ..PersistentState::default()
             };
             let seeds = NAMES.map(String::from).to_vec();
-            let birth = StoreConfig {
+            let start_config = StoreConfig {
                 name: name.to_string(),
                 process_id: 1,
                 tolerated_losses: 1,
@@ -72,7 +72,7 @@
                 seeds,
             };
             let mut out = Vec::new();
-            all.stores.push(Store::new(birth, Some(kept), &mut out));
+            all.stores.push(Store::new(start_config, Some(retained), &mut out));
             all.take(at, out);
         }
         all.run(0);
--- a/crates/exporter/examples/measure.rs
+++ b/crates/exporter/examples/measure.rs
@@ -25,8 +25,8 @@
 
 /// CPU of this thread in seconds.
 fn cpu() -> f64 {
-    let told = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    told.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(f64::NAN) / 1e9
+    let reported = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    reported.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(f64::NAN) / 1e9
 }
 
 /// Three machines of the core with two programs each, and proxies.
@@ -56,7 +56,7 @@
 
 async fn play(fleet: Vec<Hello>, port: u16, ready: std::sync::mpsc::Sender<()>) -> std::io::Result<()> {
     let core = fleet[..3].iter().map(|hello| hello.ip.clone()).collect();
-    let rolled = ProcessList { linked: fleet.clone(), missing: Vec::new(), voters: core };
+    let process_list = ProcessList { linked: fleet.clone(), missing: Vec::new(), voters: core };
     for me in fleet {
         let (links, mut events) = Links::new();
         let program = match me.role {
@@ -66,13 +66,15 @@
         };
         let ip = me.ip.parse().unwrap_or(Ipv4Addr::LOCALHOST);
         links.listen(SocketAddrV4::new(ip, port + program))?;
-        let (rolled, figures) =
-            (PeerMessage::ProcessList(rolled.clone()), PeerMessage::Metrics(metrics(me.role)));
+        let (process_list, figures) =
+            (PeerMessage::ProcessList(process_list.clone()), PeerMessage::Metrics(metrics(me.role)));
         tokio::task::spawn_local(async move {
             while let Some(event) = events.recv().await {
                 match event {
                     LinkEvent::Connected(peer, _) => links.send(peer, &PeerMessage::Hello(me.clone())),
-                    LinkEvent::Received(peer, PeerMessage::ProcessListRequest) => links.send(peer, &rolled),
+                    LinkEvent::Received(peer, PeerMessage::ProcessListRequest) => {
+                        links.send(peer, &process_list)
+                    }
                     LinkEvent::Received(peer, PeerMessage::MetricsRequest) => links.send(peer, &figures),
                     _ => {}
                 }
--- a/crates/exporter/tests/alerts.rs
+++ b/crates/exporter/tests/alerts.rs
@@ -31,12 +31,12 @@
 
 /// What a figure's course raises and clears, look by look.
 fn course(alerts: &mut Alerts, figure: &'static str, values: &[f64]) -> Vec<(usize, String, bool)> {
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for (look, value) in values.iter().enumerate() {
         let changes = alerts.observe(look as u64 * LOOK, &[process("a-1", figure, *value)]);
-        told.extend(changes.into_iter().map(|change| (look, change.rule, change.is_raised)));
+        reported.extend(changes.into_iter().map(|change| (look, change.rule, change.is_raised)));
     }
-    told
+    reported
 }
 
 /// Values that stay for so many looks each.
@@ -172,14 +172,14 @@
     for rule in &rules {
         let (figure, trouble, within, quiet) = &cases[rule.name.as_str()];
         expect_that!(rule.metric, eq(*figure));
-        let told = course(&mut Alerts::new(rules.clone()), figure, trouble);
+        let reported = course(&mut Alerts::new(rules.clone()), figure, trouble);
         let names: Vec<(&str, bool)> =
-            told.iter().map(|(_, name, raised)| (name.as_str(), *raised)).collect();
+            reported.iter().map(|(_, name, raised)| (name.as_str(), *raised)).collect();
         expect_that!(names, elements_are![eq(&(rule.name.as_str(), true)), eq(&(rule.name.as_str(), false))]);
         let begin = trouble.iter().position(|value| *value != trouble[0]).unwrap_or(0);
         // A counter of the disk's time moves before the trouble, too.
         let begin = if rule.name == "disk_slow" { 6 } else { begin };
-        expect_that!((told[0].0 - begin) * 2, le(*within), "{}", rule.name);
+        expect_that!((reported[0].0 - begin) * 2, le(*within), "{}", rule.name);
         expect_that!(course(&mut Alerts::new(rules.clone()), figure, quiet), is_empty(), "{}", rule.name);
     }
 }
@@ -206,18 +206,18 @@
         let cut = (0..11).map(move |n| process(&format!("b-{n}"), "up", up));
         cut.chain([process("a-1", "up", 1.0)]).collect::<Vec<Observation>>()
     };
-    let mut told = Vec::new();
-    (0..2).for_each(|look| told.extend(alerts.observe(look * LOOK, &hall(1.0))));
-    (2..8).for_each(|look| told.extend(alerts.observe(look * LOOK, &hall(0.0))));
-    expect_that!(told, len(eq(1)));
-    expect_that!((told[0].group.as_str(), told[0].processes.len()), eq(("b", 11)));
+    let mut reported = Vec::new();
+    (0..2).for_each(|look| reported.extend(alerts.observe(look * LOOK, &hall(1.0))));
+    (2..8).for_each(|look| reported.extend(alerts.observe(look * LOOK, &hall(0.0))));
+    expect_that!(reported, len(eq(1)));
+    expect_that!((reported[0].group.as_str(), reported[0].processes.len()), eq(("b", 11)));
     // They tell nothing any more, not even that they are down; then they are forgotten.
     let mut nothing = hall(0.0);
     nothing.iter_mut().for_each(|seen| seen.metrics.clear());
-    (8..20).for_each(|look| told.extend(alerts.observe(look * LOOK, &nothing)));
-    expect_that!(told, len(eq(1)));
-    (20..24).for_each(|look| told.extend(alerts.observe(look * LOOK, &[])));
-    expect_that!(told, len(eq(2)));
+    (8..20).for_each(|look| reported.extend(alerts.observe(look * LOOK, &nothing)));
+    expect_that!(reported, len(eq(1)));
+    (20..24).for_each(|look| reported.extend(alerts.observe(look * LOOK, &[])));
+    expect_that!(reported, len(eq(2)));
     expect_that!(alerts.statuses().count(), eq(0));
 }
 
@@ -225,15 +225,15 @@
 fn a_process_that_begins_anew_has_counted_nothing() {
     let mut alerts = Alerts::new(shipped());
     let counts = [0.0, 50.0, 51.0, 600.0, 0.0, 1.0];
-    let lives = [1, 1, 1, 2, 2, 2];
-    let mut told: Vec<AlertChange> = Vec::new();
+    let process_ids = [1, 1, 1, 2, 2, 2];
+    let mut reported: Vec<AlertChange> = Vec::new();
     for look in 0..6 {
         // The first look's counter may be of any age: only what it grows by counts.
         let mut seen = process("a-1", "proxy_quota_unanswered_total", counts[look] / 10.0);
-        seen.process_id = lives[look];
-        told.extend(alerts.observe(look as u64 * LOOK, &[seen]));
+        seen.process_id = process_ids[look];
+        reported.extend(alerts.observe(look as u64 * LOOK, &[seen]));
     }
-    expect_that!(told, is_empty());
+    expect_that!(reported, is_empty());
 }
 
 proptest! {
@@ -267,7 +267,7 @@
                 let zone = if number == 0 { "a" } else { "b" };
                 process(&format!("{zone}-{number}"), "proxy_update_age_seconds", f64::from(*value))
             }).collect();
-            let told = alerts.observe(now, &seen);
+            let reported = alerts.observe(now, &seen);
             for (group, numbers) in [("a", 0..1), ("b", 1..3)] {
                 // Said again from all that has been, the slow way.
                 let over = |look: usize, number: usize| {
@@ -285,8 +285,8 @@
                 }
                 let wait = if *was { 4_000_000 } else { 5_000_000 };
                 let change = first < past.len() && now >= past[first].0 + wait;
-                let told: Vec<bool> = told.iter().filter(|c| c.group == group).map(|c| c.is_raised).collect();
-                prop_assert_eq!(told, if change { vec![!*was] } else { Vec::new() });
+                let reported: Vec<bool> = reported.iter().filter(|c| c.group == group).map(|c| c.is_raised).collect();
+                prop_assert_eq!(reported, if change { vec![!*was] } else { Vec::new() });
                 if change {
                     prop_assert!(*was || *cleared == 0 || now >= *cleared + 5_000_000, "twice within the hold time");
                     *cleared = if *was { now } else { *cleared };
--- a/crates/node-runtime/src/settings_watch/tests.rs
+++ b/crates/node-runtime/src/settings_watch/tests.rs
@@ -28,8 +28,9 @@
     assert_that!(*seen.borrow(), elements_are![eq("longer than before")]);
     std::fs::write(&path, text("last")).expect("a file");
     let _ = timeout(CHECK_INTERVAL * 3, &mut watch).await;
-    let told = std::process::Command::new("kill").args(["-HUP", &std::process::id().to_string()]).status();
-    assert_that!(told.is_ok_and(|status| status.success()), eq(true));
+    let reported =
+        std::process::Command::new("kill").args(["-HUP", &std::process::id().to_string()]).status();
+    assert_that!(reported.is_ok_and(|status| status.success()), eq(true));
     // The signal comes by the machine's clock, and not by the test's.
     for _ in 0..10_000 {
         let _ = timeout(CHECK_INTERVAL, &mut watch).await;
--- a/crates/peer-link/src/codec/tests.rs
+++ b/crates/peer-link/src/codec/tests.rs
@@ -9,16 +9,16 @@
 #[gtest]
 fn messages_come_apart_as_they_were_put_together() {
     let item = Item::with_revision(Key::new(Kind::Route, "r"), 7, Some(b"{}".to_vec()));
-    let said = [PeerMessage::Goodbye, PeerMessage::Update(vec![item]), PeerMessage::Digests([9, 3])];
+    let sent = [PeerMessage::Goodbye, PeerMessage::Update(vec![item]), PeerMessage::Digests([9, 3])];
     let mut wire = BytesMut::new();
-    said.iter().for_each(|message| wire.extend_from_slice(&encode(message)));
+    sent.iter().for_each(|message| wire.extend_from_slice(&encode(message)));
     let mut heard = Vec::new();
     let mut come = BytesMut::new();
     for byte in wire {
         come.put_u8(byte);
         heard.extend(decode(&mut come).expect("sound"));
     }
-    expect_that!(heard, container_eq(said));
+    expect_that!(heard, container_eq(sent));
     let mut huge = BytesMut::from(&u32::MAX.to_le_bytes()[..]);
     expect_that!(decode(&mut huge), err(eq(&CodecError::TooLong(u32::MAX as usize))));
 }
--- a/crates/proxy/examples/boundary.rs
+++ b/crates/proxy/examples/boundary.rs
@@ -1,4 +1,4 @@
-//! What the boundary costs for each request: `cargo run --release -p pinerelay-forager --example boundary`.
+//! What the boundary costs for each request: `cargo run --release -p pinerelay-proxy --example boundary`.
 
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/proxy/tests/in_force.rs
+++ b/crates/proxy/tests/in_force.rs
@@ -23,7 +23,7 @@
     Hello { node: "n".into(), ip: "10.0.0.1".into(), role, process_id: 1 }
 }
 
-fn standing() -> PeerMessage {
+fn current() -> PeerMessage {
     PeerMessage::RegistryStatus(RegistryStatus {
         registries: vec!["10.0.0.1".into()],
         voters: vec!["10.0.0.1".into()],
@@ -119,7 +119,7 @@
     }
 
     fn pulse(&mut self) {
-        self.to_proxy.push(standing());
+        self.to_proxy.push(current());
         self.to_proxy.push(PeerMessage::Digests([self.registry.digest(), 0]));
     }
 
@@ -217,7 +217,7 @@
 fn with_news_of_a_route_before_all_else_nothing_is_in_force() {
     let mut play = Play::new();
     let route = first_call().into_iter().filter(|item| item.key.name == "r").collect();
-    play.say(standing());
+    play.say(current());
     play.say(PeerMessage::Update(route));
     play.tick(100 * MILLISECOND);
     expect_that!(play.in_force, is_empty());
--- a/crates/proxy/tests/stage/mod.rs
+++ b/crates/proxy/tests/stage/mod.rs
@@ -273,7 +273,7 @@
 fn tell(mut stream: TcpStream, items: &[Item]) {
     let ip = std::net::Ipv4Addr::from(machine()).to_string();
     let hello = Hello { node: "core-1".into(), ip: ip.clone(), role: Role::Registry, process_id: 1 };
-    let standing = RegistryStatus {
+    let current = RegistryStatus {
         registries: vec![ip.clone()],
         voters: vec![ip],
         epoch: 1,
@@ -283,14 +283,14 @@
         is_complete: true,
         is_current: true,
     };
-    let mut cells = pinerelay_config_state::ItemSet::default();
-    cells.merge_all(items.iter().filter(|item| item.key.kind.is_config()).cloned());
+    let mut item_set = pinerelay_config_state::ItemSet::default();
+    item_set.merge_all(items.iter().filter(|item| item.key.kind.is_config()).cloned());
     let mut out = GREETING.to_vec();
     for message in [
         PeerMessage::Hello(hello),
         PeerMessage::Update(items.to_vec()),
-        PeerMessage::RegistryStatus(standing),
-        PeerMessage::Digests([cells.digest(), 0]),
+        PeerMessage::RegistryStatus(current),
+        PeerMessage::Digests([item_set.digest(), 0]),
     ] {
         out.extend_from_slice(&codec::encode(&message));
     }
@@ -305,7 +305,7 @@
         let mut out = codec::encode(&PeerMessage::KeepAlive).to_vec();
         while let Ok(Some(heard)) = come.next_message() {
             if let PeerMessage::ConfirmCurrent(asked) = heard {
-                let digest = cells.digest();
+                let digest = item_set.digest();
                 let confirmed =
                     PeerMessage::Current { asked_at: asked, epoch: 1, digest, lease_left: LEASE_DURATION };
                 out.extend_from_slice(&codec::encode(&confirmed));
--- a/crates/proxy/tests/subscriber.rs
+++ b/crates/proxy/tests/subscriber.rs
@@ -41,12 +41,12 @@
 #[gtest]
 fn a_grant_is_taken_on_the_connection_that_it_was_asked_on_and_once() {
     let mut subscriber = Subscriber::new(0, hello(Role::Proxy), Vec::new());
-    let scout = |ip: &str, life| Hello { ip: ip.into(), process_id: life, ..hello(Role::Registry) };
+    let registry_hello = |ip: &str, life| Hello { ip: ip.into(), process_id: life, ..hello(Role::Registry) };
     let ips = ["127.0.0.1", "127.0.0.2"].map(String::from);
-    let standing = |majority| {
-        let (scouts, voters) = (ips.to_vec(), ips.to_vec());
+    let current_items = |majority| {
+        let (registry_hellos, voters) = (ips.to_vec(), ips.to_vec());
         PeerMessage::RegistryStatus(RegistryStatus {
-            registries: scouts,
+            registries: registry_hellos,
             voters,
             epoch: 1,
             epoch_settled: true,
@@ -58,8 +58,8 @@
     };
     let mut out = Vec::new();
     for (peer, ip) in [(1, "127.0.0.1"), (2, "127.0.0.2")] {
-        subscriber.receive(0, peer, PeerMessage::Hello(scout(ip, 1)), &mut out);
-        subscriber.receive(0, peer, standing(true), &mut out);
+        subscriber.receive(0, peer, PeerMessage::Hello(registry_hello(ip, 1)), &mut out);
+        subscriber.receive(0, peer, current_items(true), &mut out);
     }
     let quota = Quota { rate: 100.0, burst: 10.0 };
     out.clear();
@@ -74,14 +74,14 @@
     // The link is taken up again by another life, which was asked nothing.
     out.clear();
     subscriber.disconnected(asked);
-    subscriber.receive(3, 9, PeerMessage::Hello(scout(&ips[asked as usize - 1], 2)), &mut out);
+    subscriber.receive(3, 9, PeerMessage::Hello(registry_hello(&ips[asked as usize - 1], 2)), &mut out);
     out.clear();
     subscriber.receive(4, 9, drawn(), &mut out);
     expect_that!(out, elements_are![matches_pattern!(Output::Close(eq(&9)))]);
     expect_that!(subscriber.leases().waiting(), eq(1));
     // A second greeting on a connection would forget what was asked on it.
     out.clear();
-    subscriber.receive(5, 9, PeerMessage::Hello(scout(&ips[0], 3)), &mut out);
+    subscriber.receive(5, 9, PeerMessage::Hello(registry_hello(&ips[0], 3)), &mut out);
     expect_that!(out, elements_are![matches_pattern!(Output::Close(eq(&9)))]);
 }
 
@@ -92,7 +92,7 @@
     for peer in 1..3 {
         let ip = format!("127.0.0.{peer}");
         subscriber.receive(1, peer, PeerMessage::Hello(Hello { ip, ..hello(Role::Registry) }), &mut out);
-        subscriber.receive(1, peer, PeerMessage::RegistryStatus(standing(1, &[], false)), &mut out);
+        subscriber.receive(1, peer, PeerMessage::RegistryStatus(current_items(1, &[], false)), &mut out);
     }
     let asks = |subscriber: &mut Subscriber, now| {
         let mut out = Vec::new();
@@ -116,21 +116,22 @@
         &mut Vec::new(),
     );
     // No answer comes any more: by and by it spends of its share, and both hear of that; one is asked.
-    let told: Vec<_> = (30_000..900_000).step_by(10_000).flat_map(|now| asks(&mut subscriber, now)).collect();
+    let reported: Vec<_> =
+        (30_000..900_000).step_by(10_000).flat_map(|now| asks(&mut subscriber, now)).collect();
     for peer in 1..3 {
-        let spent = told.iter().filter(|ask| ask.0 == peer).map(|ask| ask.2).fold(0.0, f64::max);
+        let spent = reported.iter().filter(|ask| ask.0 == peer).map(|ask| ask.2).fold(0.0, f64::max);
         expect_that!(spent, gt(10.0), "told to {peer}");
     }
-    expect_that!(told.iter().filter(|ask| ask.0 != count).all(|ask| ask.1 == 0.0), eq(true));
+    expect_that!(reported.iter().filter(|ask| ask.0 != count).all(|ask| ask.1 == 0.0), eq(true));
 }
 
 const SECOND: u64 = 1_000_000;
 
-fn standing(epoch: u64, voters: &[&str], current: bool) -> RegistryStatus {
+fn current_items(epoch: u64, voters: &[&str], current: bool) -> RegistryStatus {
     let voters: Vec<String> = voters.iter().map(|ip| ip.to_string()).collect();
-    let scouts = voters.clone();
+    let registry_hellos = voters.clone();
     RegistryStatus {
-        registries: scouts,
+        registries: registry_hellos,
         voters,
         epoch,
         epoch_settled: true,
@@ -172,10 +173,10 @@
 
     /// A registry says how it stands, and then what it has.
     fn pulse(&mut self, now: u64, peer: u64, current: bool, items: &[Item]) {
-        let mut cells = ItemSet::default();
-        cells.merge_all(items.iter().cloned());
-        self.said(now, peer, PeerMessage::RegistryStatus(standing(1, &["10.0.0.1"], current)));
-        self.said(now, peer, PeerMessage::Digests([cells.digest(), 0]));
+        let mut item_set = ItemSet::default();
+        item_set.merge_all(items.iter().cloned());
+        self.said(now, peer, PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], current)));
+        self.said(now, peer, PeerMessage::Digests([item_set.digest(), 0]));
         if current {
             self.confirmed(now, peer, now, LEASE_DURATION, items);
         }
@@ -183,9 +184,9 @@
 
     /// A registry answers that it is current: asked then, with so much left of its lease.
     fn confirmed(&mut self, now: u64, peer: u64, asked: u64, left: u64, items: &[Item]) {
-        let mut cells = ItemSet::default();
-        cells.merge_all(items.iter().cloned());
-        let digest = cells.digest();
+        let mut item_set = ItemSet::default();
+        item_set.merge_all(items.iter().cloned());
+        let digest = item_set.digest();
         self.said(now, peer, PeerMessage::Current { asked_at: asked, epoch: 1, digest, lease_left: left });
     }
 
@@ -207,7 +208,7 @@
     play.pass(0, 5 * SECOND, false, &old);
     expect_that!(play.0.can_serve(), eq(false));
     // What it had before it said that it is current may be older than that.
-    play.said(5 * SECOND, 1, PeerMessage::RegistryStatus(standing(1, &["10.0.0.1"], true)));
+    play.said(5 * SECOND, 1, PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], true)));
     play.0.tick(5 * SECOND, &mut Vec::new());
     expect_that!(play.0.can_serve(), eq(false));
     play.said(5 * SECOND, 1, PeerMessage::Update(new.clone()));
@@ -245,7 +246,12 @@
         let mut play = Play::new();
         play.link(1);
         let mut out = Vec::new();
-        play.0.receive(asked, 1, PeerMessage::RegistryStatus(standing(1, &["10.0.0.1"], true)), &mut out);
+        play.0.receive(
+            asked,
+            1,
+            PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], true)),
+            &mut out,
+        );
         let asks =
             out.iter().any(|o| matches!(o, Output::Send(1, PeerMessage::ConfirmCurrent(at)) if *at == asked));
         expect_that!(asks, eq(true));
@@ -263,10 +269,10 @@
     play.link(1);
     play.said(0, 1, PeerMessage::Update(items.clone()));
     play.pulse(0, 1, false, &items);
-    play.said(1, 1, PeerMessage::RegistryStatus(standing(1, &["10.0.0.1"], true)));
-    let mut cells = ItemSet::default();
-    cells.merge_all(items.iter().cloned());
-    play.said(1, 1, PeerMessage::Digests([cells.digest(), 0]));
+    play.said(1, 1, PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], true)));
+    let mut item_set = ItemSet::default();
+    item_set.merge_all(items.iter().cloned());
+    play.said(1, 1, PeerMessage::Digests([item_set.digest(), 0]));
     expect_that!(play.0.can_serve(), eq(false));
 }
 
@@ -298,11 +304,11 @@
     let mut play = Play::new();
     (1..=3).for_each(|peer| play.link(peer));
     let (old, new) = (["10.0.0.1", "10.0.0.2", "10.0.0.3"], ["10.0.0.1", "10.0.0.2", "10.0.0.4"]);
-    play.said(1, 1, PeerMessage::RegistryStatus(standing(1, &old, true)));
+    play.said(1, 1, PeerMessage::RegistryStatus(current_items(1, &old, true)));
     expect_that!(play.0.wanted_registries(), container_eq(old.map(String::from)));
     // One tells of a change; another does not know of it yet.
-    play.said(2, 1, PeerMessage::RegistryStatus(standing(2, &new, true)));
-    play.said(2, 2, PeerMessage::RegistryStatus(standing(1, &old, true)));
+    play.said(2, 1, PeerMessage::RegistryStatus(current_items(2, &new, true)));
+    play.said(2, 2, PeerMessage::RegistryStatus(current_items(1, &old, true)));
     let wanted = play.0.wanted_registries();
     new.iter().for_each(|ip| expect_that!(wanted, contains(eq(*ip))));
     expect_that!(wanted, contains(eq("10.0.0.3")), "as long as the new one is not reached");
--- a/crates/registry/tests/current.rs
+++ b/crates/registry/tests/current.rs
@@ -133,8 +133,8 @@
 
 fn standings(out: &[Output]) -> Vec<&RegistryStatus> {
     let said = out.iter().filter_map(|output| match output {
-        Output::Broadcast(peers, PeerMessage::RegistryStatus(standing)) if peers.contains(&PROXY) => {
-            Some(standing)
+        Output::Broadcast(peers, PeerMessage::RegistryStatus(current_items)) if peers.contains(&PROXY) => {
+            Some(current_items)
         }
         _ => None,
     });
@@ -156,9 +156,13 @@
     play.confirmed(play.now, 1, item_set.digest());
     play.said(STORE, PeerMessage::Digests([item_set.digest(), 0]));
     expect_that!(play.is_current(), eq(false), "it lacks what the store has");
-    let told = play.said(STORE, PeerMessage::Update(config()));
+    let reported = play.said(STORE, PeerMessage::Update(config()));
     expect_that!(play.is_current(), eq(true));
-    expect_that!(standings(&told).iter().filter(|s| s.is_current).count(), eq(1), "who starts waits for it");
+    expect_that!(
+        standings(&reported).iter().filter(|s| s.is_current).count(),
+        eq(1),
+        "who starts waits for it"
+    );
     // What it has can't get less, whatever comes to it.
     let more = r#"{"upsert":{"services":{"column_names":["name","revision"],"records":[["t",6]]}}}"#;
     play.said(
@@ -232,10 +236,10 @@
     play.cut();
     play.said(PROXY, PeerMessage::Hello(hello(Role::Proxy, 9, 7)));
     play.pass(100);
-    let (refused, told) = play.heartbeat(ServerState::Draining, 2);
+    let (refused, reported) = play.heartbeat(ServerState::Draining, 2);
     expect_that!(refused, some(eq(503)));
-    let news = |output: &Output| matches!(output, Output::Broadcast(to, PeerMessage::Update(_)) if to.contains(&PROXY));
-    expect_that!(told.iter().any(news), eq(true), "proxies on its side are told all the same");
+    let updates = |output: &Output| matches!(output, Output::Broadcast(to, PeerMessage::Update(_)) if to.contains(&PROXY));
+    expect_that!(reported.iter().any(updates), eq(true), "proxies on its side are told all the same");
     expect_that!(
         play.heartbeat(ServerState::Ready, 1).0,
         some(eq(503)),
@@ -279,11 +283,11 @@
         play.cut();
         play.pass(after);
         play.link(2);
-        let told = play.pass(20_000);
-        let lost = told.iter().position(|o| matches!(o, Output::Broadcast(_, PeerMessage::Update(_))));
+        let reported = play.pass(20_000);
+        let lost = reported.iter().position(|o| matches!(o, Output::Broadcast(_, PeerMessage::Update(_))));
         // Each tick is a hundred milliseconds; what is said between does not matter here.
         lost.map(|at| {
-            told[..at]
+            reported[..at]
                 .iter()
                 .filter(|o| matches!(o, Output::Broadcast(_, PeerMessage::HeartbeatsSeen(_))))
                 .count()
@@ -315,9 +319,9 @@
     expect_that!(others, unordered_elements_are![eq(&ip(2)), eq(&ip(3)), eq(&ip(4))]);
     // An older word changes nothing.
     play.store_stands(1, [1, 2, 3], &[], true);
-    let told = play.pass(1_000);
-    let last = standings(&told).last().map(|s| (s.epoch, s.epoch_settled, s.voters.contains(&ip(4))));
+    let reported = play.pass(1_000);
+    let last = standings(&reported).last().map(|s| (s.epoch, s.epoch_settled, s.voters.contains(&ip(4))));
     expect_that!(last, some(eq((2, false, true))));
-    let told = play.pass(6_000);
-    expect_that!(standings(&told).last().map(|s| s.epoch_settled), some(eq(true)));
+    let reported = play.pass(6_000);
+    expect_that!(standings(&reported).last().map(|s| s.epoch_settled), some(eq(true)));
 }
--- a/crates/registry/tests/process_list.rs
+++ b/crates/registry/tests/process_list.rs
@@ -28,7 +28,7 @@
     )
 }
 
-fn said(registry: &mut Registry, peer: u64, message: PeerMessage) -> Vec<Output> {
+fn sent(registry: &mut Registry, peer: u64, message: PeerMessage) -> Vec<Output> {
     let mut out = Vec::new();
     registry.receive(1, peer, message, &mut out);
     out
@@ -38,16 +38,16 @@
 fn the_roll_names_what_is_linked_and_what_is_missed_and_nobody_who_looks_on() {
     let mut registry = registry();
     for (peer, node) in [(1, "edge-1"), (2, "edge-22"), (3, "edge-333")] {
-        said(&mut registry, peer, PeerMessage::Hello(hello(node, Role::Proxy)));
+        sent(&mut registry, peer, PeerMessage::Hello(hello(node, Role::Proxy)));
     }
     // The second ends as planned, the third is gone without a word.
-    said(&mut registry, 2, PeerMessage::Goodbye);
+    sent(&mut registry, 2, PeerMessage::Goodbye);
     [2, 3].into_iter().for_each(|peer| registry.disconnected(1, peer, &mut Vec::new()));
     // One that looks on from the machine of a proxy that is missed is not that proxy.
-    let met = said(&mut registry, 9, PeerMessage::Hello(hello("edge-333", Role::Observer)));
+    let met = sent(&mut registry, 9, PeerMessage::Hello(hello("edge-333", Role::Observer)));
     expect_that!(met, is_empty());
-    let told = said(&mut registry, 9, PeerMessage::ProcessListRequest);
-    let [Output::Send(9, PeerMessage::ProcessList(list))] = &told[..] else { panic!("{told:?}") };
+    let reported = sent(&mut registry, 9, PeerMessage::ProcessListRequest);
+    let [Output::Send(9, PeerMessage::ProcessList(list))] = &reported[..] else { panic!("{reported:?}") };
     let linked: Vec<&str> = list.linked.iter().map(|hello| hello.node.as_str()).collect();
     expect_that!(linked, unordered_elements_are![eq(&"core"), eq(&"edge-1")]);
     expect_that!(list.missing, elements_are![eq("edge-333")]);
--- a/crates/registry/tests/reach.rs
+++ b/crates/registry/tests/reach.rs
@@ -29,7 +29,7 @@
     let voters = seeds.clone();
     let mut registries = seeds.clone();
     registries.extend(["10.0.0.4".to_string(), "10.0.0.5".into()]);
-    let standing = RegistryStatus {
+    let current = RegistryStatus {
         registries,
         voters,
         epoch: 1,
@@ -39,7 +39,7 @@
         is_complete: true,
         is_current: true,
     };
-    registry.receive(2, 7, PeerMessage::RegistryStatus(standing), &mut out);
+    registry.receive(2, 7, PeerMessage::RegistryStatus(current), &mut out);
     let mut all: BTreeSet<String> = seeds.into_iter().collect();
     all.insert("10.0.0.5".into());
     expect_that!(registry.other_registries(), eq(&all), "itself left out");
--- a/crates/registry/tests/replication.rs
+++ b/crates/registry/tests/replication.rs
@@ -53,7 +53,7 @@
 }
 
 /// What the proxy is told of the configuration.
-fn told(registry: &mut Registry, now: u64, message: PeerMessage) -> Vec<PeerMessage> {
+fn reported(registry: &mut Registry, now: u64, message: PeerMessage) -> Vec<PeerMessage> {
     let mut out = Vec::new();
     registry.receive(now, STORE, message, &mut out);
     let to_proxy = out.into_iter().filter_map(|output| match output {
@@ -72,8 +72,8 @@
 fn pieces_of_a_call_are_told_once_all_of_them_have_come() {
     let mut registry = registry();
     let call = pass_key(5);
-    expect_that!(told(&mut registry, 3, PeerMessage::Digests([digest(&call), 0])), is_empty());
-    expect_that!(told(&mut registry, 4, piece(&call[..1])), is_empty());
+    expect_that!(reported(&mut registry, 3, PeerMessage::Digests([digest(&call), 0])), is_empty());
+    expect_that!(reported(&mut registry, 4, piece(&call[..1])), is_empty());
     // Nor does a proxy that asks get at half of it.
     let mut out = Vec::new();
     registry.receive(5, PROXY, PeerMessage::Digests([1, 0]), &mut out);
@@ -84,7 +84,7 @@
         &mut out,
     );
     expect_that!(out, is_empty());
-    let all = told(&mut registry, 6, piece(&call[1..]));
+    let all = reported(&mut registry, 6, piece(&call[1..]));
     expect_that!(all, elements_are![eq(&PeerMessage::Digests([digest(&call), 0]))]);
 }
 
@@ -93,7 +93,7 @@
     let mut registry = registry();
     let call = pass_key(5);
     expect_that!(
-        told(&mut registry, 3, PeerMessage::Update(call.clone())),
+        reported(&mut registry, 3, PeerMessage::Update(call.clone())),
         elements_are![eq(&PeerMessage::Update(call))]
     );
 }
@@ -102,7 +102,7 @@
 fn where_no_store_says_the_same_for_long_proxies_are_told_all_the_same() {
     let mut registry = registry();
     let call = pass_key(5);
-    expect_that!(told(&mut registry, 3, piece(&call[..1])), is_empty());
+    expect_that!(reported(&mut registry, 3, piece(&call[..1])), is_empty());
     let mut digests = 0;
     for now in (10..2_000).step_by(100).map(|ms| ms * MILLISECOND) {
         let mut out = Vec::new();
--- a/crates/smoker/src/check.rs
+++ b/crates/smoker/src/check.rs
@@ -12,7 +12,7 @@
 use crate::plan::{Micros, SECOND};
 use crate::process::Proc;
 
-pub use invariant::{ForwardingViolation, Invariant};
+pub use invariant::{Breach, Invariant};
 
 /// A change that was acknowledged is in force after this at who is in touch; a server that leaves gets no more.
 pub const APPLY: Micros = 2_500_000;
--- a/crates/smoker/src/check/invariant.rs
+++ b/crates/smoker/src/check/invariant.rs
@@ -77,7 +77,7 @@
 /// What was broken, and when.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("seed {seed} at {:.3} s: {invariant:?}: {what}", *at as f64 / 1e6)]
-pub struct ForwardingViolation {
+pub struct Breach {
     /// The play's.
     pub seed: u64,
     /// When.
--- a/crates/smoker/src/contact.rs
+++ b/crates/smoker/src/contact.rs
@@ -10,7 +10,7 @@
 use crate::world::World;
 
 /// A proxy that has stood still for longer counts anew for how long no registry was current, as
-/// `forager::hearing` does.
+/// `proxy::subscriber` does.
 const STOOD_STILL: Micros = 700_000;
 
 /// A proxy's contact with current registries in one life.
--- a/crates/smoker/src/disk.rs
+++ b/crates/smoker/src/disk.rs
@@ -5,7 +5,7 @@
 
 use crate::plan::{Lot, Micros};
 
-/// What a disk refuses is tried again after this, as `comb::disk` does.
+/// What a disk refuses is tried again after this, as `config_store::disk` does.
 pub const AGAIN: Micros = 300_000;
 
 /// A store's disk, and the queue before it.
--- a/crates/smoker/src/links.rs
+++ b/crates/smoker/src/links.rs
@@ -16,7 +16,7 @@
 use crate::process::{Body, Input, Peer, Proc};
 use crate::world::{Coming, Event, World, AGAIN, ALL};
 
-/// The longest pause between attempts to connect, as `propolis::link` makes them.
+/// The longest pause between attempts to connect, as `peer_link::link` makes them.
 const AGAIN_MOST: Micros = 800_000;
 
 impl World {
--- a/crates/smoker/src/net.rs
+++ b/crates/smoker/src/net.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Lot, Micros, SECOND};
 use crate::process::{Peer, Proc};
 
-/// A connection on which nothing was heard for so long is closed, as `propolis::link` does.
+/// A connection on which nothing was heard for so long is closed, as `peer_link::link` does.
 pub const SILENCE: Micros = 2_000_000;
 /// An attempt to connect that nobody answers is given up after this.
 pub const CONNECT: Micros = 500_000;
--- a/crates/smoker/src/world.rs
+++ b/crates/smoker/src/world.rs
@@ -11,7 +11,7 @@
 use pinerelay_peer_link::message::{PeerMessage, Role};
 use pinerelay_proxy::subscriber::Output as Heard;
 
-use crate::check::{ForwardingViolation, Ledger};
+use crate::check::{Breach, Ledger};
 use crate::contact::Contact;
 use crate::disk::{self, Disk};
 use crate::faults::{Fault, Faults};
@@ -24,7 +24,7 @@
 use crate::process::{wall, Body, Dial, Input, Output, Peer, Places, Proc, Process, Told};
 use crate::scenarios::Act;
 
-/// The pause before another attempt to connect, as `propolis::link` makes it.
+/// The pause before another attempt to connect, as `peer_link::link` makes it.
 pub const AGAIN: Micros = 100_000;
 /// What all slices together are.
 pub const ALL: u32 = (1 << SLICE_COUNT) - 1;
@@ -144,7 +144,7 @@
 }
 
 /// Plays a plan to its end, or to the first breach.
-pub fn play(plan: &Plan) -> Result<Figures, ForwardingViolation> {
+pub fn play(plan: &Plan) -> Result<Figures, Breach> {
     let mut world = World::new(plan.clone());
     let end = plan.seconds * SECOND;
     while let Some(((at, _), event)) = world.queue.pop_first() {
@@ -154,13 +154,7 @@
         }
         world.ledger.overrun(world.now, at > end);
         if let Some((invariant, what)) = world.ledger.breach.take() {
-            return Err(ForwardingViolation {
-                seed: plan.seed,
-                at: world.now,
-                invariant,
-                what,
-                trail: world.trail,
-            });
+            return Err(Breach { seed: plan.seed, at: world.now, invariant, what, trail: world.trail });
         }
         if at > end {
             break;
