--- a/crates/succession/src/connection.rs
+++ b/crates/succession/src/connection.rs
@@ -112,7 +112,7 @@
 
     /// Takes an event; what is to be done, if anything.
     pub fn on(&mut self, event: Event) -> Option<Action> {
-        use Stage::{Closing, Fresh, Head, Idle, InWork};
+        use Stage::*;
         match (self.stage, event) {
             (_, Event::Stuck) => self.closing(Some(Action::Cut)),
             (Closing, _) => None,
