--- a/crates/config-store/src/disk.rs
+++ b/crates/config-store/src/disk.rs
@@ -15,6 +15,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
+mod column;
 mod database;
 mod file;
 mod migration;
--- a/crates/config-store/src/disk/database.rs
+++ b/crates/config-store/src/disk/database.rs
@@ -6,6 +6,7 @@
 use pinerelay_consensus::{Ballot, PersistentState, StateChange};
 use rusqlite::{params, Connection, OptionalExtension, Row};
 
+use super::column::{decode_column, encode_column, from_sql, to_sql};
 use super::migration;
 
 /// Kinds of items by the number that they have in the database.
@@ -23,21 +24,6 @@
     whole INTEGER NOT NULL, membership BLOB, ceiling INTEGER NOT NULL, turn INTEGER NOT NULL, tie INTEGER NOT NULL,
     pending BLOB);";
 
-/// Decodes a column. What cannot be decoded is an error and no empty value: a store that forgot what it had promised or
-/// accepted would vote as if it never had.
-pub(super) fn decode_column<T: bincode::Decode<()>>(column: usize, bytes: &[u8]) -> rusqlite::Result<T> {
-    let decoded = bincode::decode_from_slice(bytes, bincode::config::standard());
-    decoded.map(|(value, _)| value).map_err(|error| {
-        rusqlite::Error::FromSqlConversionFailure(column, rusqlite::types::Type::Blob, Box::new(error))
-    })
-}
-
-/// Encodes a column. Like an unreadable column, one that cannot be encoded is an error.
-fn encode_column<T: bincode::Encode>(value: &T) -> rusqlite::Result<Vec<u8>> {
-    bincode::encode_to_vec(value, bincode::config::standard())
-        .map_err(|error| rusqlite::Error::ToSqlConversionFailure(Box::new(error)))
-}
-
 /// An open database.
 pub(super) struct Database(Connection);
 
@@ -84,16 +70,6 @@
     }
 }
 
-/// SQLite's integers are signed; numbers keep their bits.
-fn to_sql(number: u64) -> i64 {
-    number as i64
-}
-
-/// The reverse of [`to_sql`].
-pub(super) fn from_sql(number: i64) -> u64 {
-    number as u64
-}
-
 fn read_state(row: &Row) -> rusqlite::Result<PersistentState> {
     let membership: Option<Vec<u8>> = row.get(1)?;
     let pending: Option<Vec<u8>> = row.get(5)?;
--- a/crates/config-store/src/disk/migration.rs
+++ b/crates/config-store/src/disk/migration.rs
@@ -3,7 +3,7 @@
 use pinerelay_consensus::{Ballot, Batch, Membership, StateChange};
 use rusqlite::{Connection, OptionalExtension, Row};
 
-use super::database::{decode_column, from_sql};
+use super::column::{decode_column, from_sql};
 
 /// Rounds that a store of the first schema may have promised beyond the one on its disk.
 const FIRST_SCHEMA_PROMISES: u64 = 1_000;
--- a/crates/credit/src/account.rs
+++ b/crates/credit/src/account.rs
@@ -9,8 +9,7 @@
 use bincode::{Decode, Encode};
 use thiserror::Error;
 
-use crate::credit_cache::BlockRequest;
-use crate::messages::{BlockGrant, BlockId, DebitReport, Holder, KnownDebits};
+use crate::messages::{BlockGrant, BlockId, BlockRequest, DebitReport, Holder, KnownDebits};
 use crate::{is_injected, Credits, Defect, Micros};
 
 /// How long a block may be spent, from when it was requested.
--- a/crates/credit/src/credit_cache.rs
+++ b/crates/credit/src/credit_cache.rs
@@ -2,11 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bincode::{Decode, Encode};
 use pinerelay_config_state::execution::ExecutionStatus;
 
 use crate::debit_backup::majority;
-use crate::messages::{BlockGrant, BlockId, DebitBatch, DebitReport, Holder};
+use crate::messages::{BlockGrant, BlockId, BlockRequest, DebitBatch, DebitReport, Holder};
 use crate::{is_injected, Credits, Defect, Micros};
 
 /// How often debits are reported.
@@ -33,15 +32,6 @@
     Waiting,
 }
 
-/// A request for a block.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct BlockRequest {
-    /// Micro-credits wanted.
-    pub wanted: Credits,
-    /// Micro-credits without which a block is of no use.
-    pub needed: Credits,
-}
-
 /// Debits that are not in a batch yet.
 #[derive(Debug, Clone, Copy)]
 struct FreshDebits {
--- a/crates/credit/src/messages.rs
+++ b/crates/credit/src/messages.rs
@@ -95,6 +95,15 @@
     pub final_total: Option<Credits>,
 }
 
+/// A request for a block.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
+pub struct BlockRequest {
+    /// Micro-credits wanted.
+    pub wanted: Credits,
+    /// Micro-credits without which a block is of no use.
+    pub needed: Credits,
+}
+
 /// A block as it is granted to a proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct BlockGrant {
--- a/crates/credit/src/random_load/simulation.rs
+++ b/crates/credit/src/random_load/simulation.rs
@@ -7,9 +7,8 @@
     NO_STORE, PRICES, PROXIES, STEP, STORES,
 };
 use crate::account::{Account, Record};
-use crate::credit_cache::BlockRequest;
 use crate::debit_backup::{choose_backups, DebitRecovery};
-use crate::messages::{BlockGrant, BlockId, DebitReport, Holder};
+use crate::messages::{BlockGrant, BlockId, BlockRequest, DebitReport, Holder};
 use crate::pause::{Level, LevelController, LevelUpdate, UPDATE_INTERVAL};
 use crate::{Credits, Micros};
 
--- a/crates/credit/src/random_load/world.rs
+++ b/crates/credit/src/random_load/world.rs
@@ -5,9 +5,9 @@
 use mountbend::measure::lot;
 
 use crate::account::{Account, Record};
-use crate::credit_cache::{BlockRequest, CreditCache};
+use crate::credit_cache::CreditCache;
 use crate::debit_backup::{BackedUpBlock, DebitBackup, DebitRecovery};
-use crate::messages::{BlockGrant, BlockId, DebitReport, Holder};
+use crate::messages::{BlockGrant, BlockId, BlockRequest, DebitReport, Holder};
 use crate::pause::{ArrivalGate, LevelController, LevelUpdate};
 use crate::{Credits, Micros};
 
--- a/crates/pinectl/src/command.rs
+++ b/crates/pinectl/src/command.rs
@@ -8,8 +8,6 @@
 use pinerelay_node_runtime::command::CommandError;
 use pinerelay_node_runtime::settings::{FileError, Settings, SettingsError};
 
-use crate::completion;
-
 #[cfg(test)]
 mod tests;
 
@@ -55,6 +53,8 @@
 pub enum Command {
     /// Execute this.
     Execute(Invocation),
+    /// Print the completion for bash and end.
+    PrintCompletion,
     /// Print this text and end.
     Print(String),
 }
@@ -175,7 +175,7 @@
 
 fn parse_completion(shell: Option<&str>) -> Result<Command, CommandError> {
     match shell {
-        Some("bash") => Ok(Command::Print(completion::bash())),
+        Some("bash") => Ok(Command::PrintCompletion),
         other => {
             let word = other.unwrap_or_default().into();
             Err(CommandError::UnknownArgument(word, "bash after completion"))
--- a/crates/pinectl/src/command/tests.rs
+++ b/crates/pinectl/src/command/tests.rs
@@ -33,7 +33,7 @@
     expect_that!(parsed("nodes --at 127.0.0.1:9 --internal 0"), err(starts_with("--internal: a port")));
     expect_that!(parsed("nodes --dry-run --at 127.0.0.1:9"), err(starts_with("--dry-run")));
     expect_that!(parsed("config diff"), err(starts_with("a file with")));
-    expect_that!(parsed("completion bash"), ok(matches_pattern!(Command::Print(anything()))));
+    expect_that!(parsed("completion bash"), ok(eq(&Command::PrintCompletion)));
     let text = options().usage("");
     for option in OPTIONS {
         expect_that!(text, contains_substring(format!("--{option}")));
--- a/crates/pinectl/src/execute.rs
+++ b/crates/pinectl/src/execute.rs
@@ -15,7 +15,7 @@
 use crate::diff::{diff, table, ItemChange};
 use crate::report::{Cell, NamedValue, Report};
 use crate::snapshot::{take_snapshot, Scope, Snapshot};
-use crate::{check, listings};
+use crate::{check, completion, listings};
 
 /// How an invocation ended, as its exit code tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -95,6 +95,10 @@
             print(&format!("{}\n", text.trim_end()));
             return ExitStatus::Done.into();
         }
+        Ok(Command::PrintCompletion) => {
+            print(&completion::bash());
+            return ExitStatus::Done.into();
+        }
         Err(error) => {
             eprintln!("pinectl: {error}");
             return ExitStatus::Usage.into();
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,30 +1,45 @@
 //! The metrics of a proxy.
 
+use pinerelay_admission::Micros;
+use pinerelay_peer_link::link::Links;
 use pinerelay_peer_link::message::{Metric, Role};
 
 use crate::request_handler::RequestHandler;
-use crate::run::RunningProxy;
-use crate::server_pool::ServerPoolCounts;
+use crate::server_pool::{ServerPool, ServerPoolCounts};
+use crate::services::Services;
+use crate::subscriber::Subscriber;
+
+/// What the metrics are taken from.
+pub(crate) struct MetricSources<'a> {
+    /// The time by the proxy's clock.
+    pub(crate) now: Micros,
+    pub(crate) zone: &'a str,
+    pub(crate) is_ready: bool,
+    pub(crate) subscriber: &'a Subscriber,
+    pub(crate) services: &'a Services,
+    pub(crate) servers: &'a ServerPool,
+    pub(crate) links: &'a Links,
+    pub(crate) handler: Option<&'a RequestHandler>,
+}
 
 /// All metrics of a proxy.
-pub(crate) fn collect(proxy: &RunningProxy) -> Vec<Metric> {
-    let zone = &proxy.settings.zone;
+pub(crate) fn collect(sources: &MetricSources) -> Vec<Metric> {
+    let zone = sources.zone;
     let mut metrics = vec![
         Metric::new(format!("proxy_info{{zone=\"{zone}\"}}"), 1.0),
-        Metric::flag("proxy_ready", proxy.is_ready.get()),
-        Metric::new("proxy_servers", proxy.services.server_count() as f64),
+        Metric::flag("proxy_ready", sources.is_ready),
+        Metric::new("proxy_servers", sources.services.server_count() as f64),
     ];
-    metrics.extend(subscriber_metrics(proxy));
-    metrics.extend(server_metrics(proxy));
-    metrics.extend(proxy.links.metrics(Role::Proxy.name()));
-    metrics.extend(proxy.request_handler().iter().flat_map(|handler| request_metrics(handler)));
+    metrics.extend(subscriber_metrics(sources.subscriber, sources.now));
+    metrics.extend(server_metrics(sources.servers, sources.now));
+    metrics.extend(sources.links.metrics(Role::Proxy.name()));
+    metrics.extend(sources.handler.into_iter().flat_map(request_metrics));
     metrics
 }
 
-fn subscriber_metrics(proxy: &RunningProxy) -> Vec<Metric> {
-    let subscriber = proxy.subscriber.borrow();
+fn subscriber_metrics(subscriber: &Subscriber, now: Micros) -> Vec<Metric> {
     let rejections = subscriber.leases().rejections();
-    let update_age = subscriber.update_age(proxy.clock.now());
+    let update_age = subscriber.update_age(now);
     vec![
         Metric::new("proxy_update_age_seconds", update_age as f64 / 1e6),
         Metric::new("proxy_quota_rejected_total", rejections.total as f64),
@@ -35,13 +50,13 @@
     ]
 }
 
-fn server_metrics(proxy: &RunningProxy) -> Vec<Metric> {
-    let ServerPoolCounts { opened, sent, distrusted } = proxy.servers.counts();
-    let retries = proxy.servers.retries.borrow();
+fn server_metrics(servers: &ServerPool, now: Micros) -> Vec<Metric> {
+    let ServerPoolCounts { opened, sent, distrusted } = servers.counts();
+    let retries = servers.retries.borrow();
     let counts = retries.counts();
-    let used = retries.used_ratio(proxy.clock.now(), proxy.servers.proxies());
+    let used = retries.used_ratio(now, servers.proxies());
     vec![
-        Metric::new("proxy_connections", proxy.servers.clients() as f64),
+        Metric::new("proxy_connections", servers.clients() as f64),
         Metric::new("proxy_retries_total", counts.granted as f64),
         Metric::new("proxy_retries_denied_total", counts.denied as f64),
         Metric::new("proxy_retry_budget_used_ratio", used),
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -24,7 +24,7 @@
 use pinerelay_node_runtime::settings::Settings;
 use pinerelay_node_runtime::settings_watch;
 use pinerelay_peer_link::link::{LinkEvent, LinkEvents, LinkHandle, Links};
-use pinerelay_peer_link::message::{Hello, PeerMessage, Role};
+use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, Role};
 use pinerelay_traffic::budget::Budget;
 use pinerelay_traffic::clock::Clock;
 use pinerelay_traffic::front::{Front, Handler};
@@ -36,7 +36,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::metrics;
+use crate::metrics::{self, MetricSources};
 use crate::request_handler::{Admitter, RequestHandler};
 use crate::server_pool::ServerPool;
 use crate::services::Services;
@@ -72,16 +72,16 @@
 const FLUSH_DELAY: Duration = Duration::from_millis(30);
 
 /// The proxy's parts.
-pub(crate) struct RunningProxy {
-    pub(crate) subscriber: RefCell<Subscriber>,
-    pub(crate) links: Rc<Links>,
-    pub(crate) clock: Rc<Clock>,
-    pub(crate) services: Rc<Services>,
-    pub(crate) servers: Rc<ServerPool>,
+struct RunningProxy {
+    subscriber: RefCell<Subscriber>,
+    links: Rc<Links>,
+    clock: Rc<Clock>,
+    services: Rc<Services>,
+    servers: Rc<ServerPool>,
     /// Set once, before anything runs.
     handler: RefCell<Weak<RequestHandler>>,
-    pub(crate) settings: Settings,
-    pub(crate) is_ready: Cell<bool>,
+    settings: Settings,
+    is_ready: Cell<bool>,
     is_shutting_down: Cell<bool>,
 }
 
@@ -245,7 +245,7 @@
 
     fn on_event(&self, event: LinkEvent) {
         if let LinkEvent::Received(connection, PeerMessage::MetricsRequest) = event {
-            return self.links.send(connection, &PeerMessage::Metrics(metrics::collect(self)));
+            return self.links.send(connection, &PeerMessage::Metrics(self.metrics()));
         }
         self.with_subscriber(|subscriber, now, out| match event {
             LinkEvent::Connected(connection, _) => subscriber.connected(connection, out),
@@ -276,8 +276,22 @@
         result
     }
 
+    fn metrics(&self) -> Vec<Metric> {
+        let handler = self.request_handler();
+        metrics::collect(&MetricSources {
+            now: self.clock.now(),
+            zone: &self.settings.zone,
+            is_ready: self.is_ready.get(),
+            subscriber: &self.subscriber.borrow(),
+            services: &self.services,
+            servers: &self.servers,
+            links: &self.links,
+            handler: handler.as_deref(),
+        })
+    }
+
     /// The handler of clients' requests.
-    pub(crate) fn request_handler(&self) -> Option<Rc<RequestHandler>> {
+    fn request_handler(&self) -> Option<Rc<RequestHandler>> {
         self.handler.borrow().upgrade()
     }
 
