--- a/crates/fuzz/src/readers/sockets/requests.rs
+++ b/crates/fuzz/src/readers/sockets/requests.rs
@@ -112,9 +112,9 @@
     all
 }
 
-/// The target as a server is sent it: path and query.
+/// The target as a server is sent it: path and query. One in origin form begins with a slash, and may hold `://` in its query.
 fn path(target: &str) -> &str {
-    match target.split_once("://") {
+    match target.split_once("://").filter(|_| !target.starts_with('/')) {
         Some((_, rest)) => rest.find('/').map_or("/", |at| &rest[at..]),
         None => target,
     }
