--- a/crates/exporter/src/exporter.rs
+++ b/crates/exporter/src/exporter.rs
@@ -1,11 +1,11 @@
 //! Queries all processes, and tells what they reported.
 
 use std::cell::{Cell, RefCell};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use pinerelay_node_runtime::internal_port;
 use pinerelay_peer_link::message::{Hello, Role};
+use pinerelay_peer_link::process_address::ProcessAddress;
 use pinerelay_peer_link::query::{query, ProcessReport, Query, QueryError};
 use tokio::sync::Mutex;
 use tokio::task::JoinSet;
@@ -13,7 +13,7 @@
 
 use crate::alerts::{AlertChange, Alerts};
 use crate::exposition::{self, ExporterMetrics};
-use crate::process_table::{ProcessAddress, ProcessTable, POLL_INTERVAL};
+use crate::process_table::{ProcessTable, POLL_INTERVAL};
 use crate::rules::{Rule, Severity};
 use crate::Micros;
 
@@ -110,7 +110,7 @@
     async fn query_all(&self, now: Micros, due: Vec<ProcessAddress>) {
         let mut queries = JoinSet::new();
         for process in due {
-            let (address, hello) = (self.socket_address(process), self.hello.clone());
+            let (address, hello) = (process.socket_address(self.first_port), self.hello.clone());
             let question = Query { role: process.role, with_servers: false, max_bytes: MAX_ANSWER_BYTES };
             queries.spawn_local(async move {
                 let answer = timeout(QUERY_TIMEOUT, query(address, &hello, question)).await;
@@ -124,15 +124,6 @@
         }
     }
 
-    fn socket_address(&self, process: ProcessAddress) -> SocketAddrV4 {
-        let offset = match process.role {
-            Role::Registry | Role::Observer => internal_port::REGISTRY,
-            Role::ConfigStore => internal_port::CONFIG_STORE,
-            Role::Proxy => internal_port::PROXY,
-        };
-        SocketAddrV4::new(process.ip, self.first_port.saturating_add(offset))
-    }
-
     fn on_answer(&self, now: Micros, process: ProcessAddress, answer: Result<ProcessReport, QueryError>) {
         match answer {
             Ok(report) => {
--- a/crates/exporter/src/process_table.rs
+++ b/crates/exporter/src/process_table.rs
@@ -4,6 +4,7 @@
 use std::net::Ipv4Addr;
 
 use pinerelay_peer_link::message::{Metric, ProcessList, Role};
+use pinerelay_peer_link::process_address::{ExpectedProcess, ProcessAddress};
 use pinerelay_peer_link::query::ProcessReport;
 
 use crate::metric_names::{parse_name, MetricName};
@@ -19,22 +20,6 @@
 /// The most metrics of a process that are kept.
 const MAX_METRICS: usize = 256;
 
-/// Where a process is reached.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ProcessAddress {
-    /// Its program.
-    pub role: Role,
-    /// Its machine.
-    pub ip: Ipv4Addr,
-}
-
-impl ProcessAddress {
-    /// The address of a program on a machine.
-    pub const fn new(role: Role, ip: Ipv4Addr) -> ProcessAddress {
-        ProcessAddress { role, ip }
-    }
-}
-
 /// A metric as a process reported it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReportedMetric {
@@ -120,26 +105,15 @@
 
     /// Learns of processes from the list of a registry.
     fn learn_processes(&mut self, now: Micros, list: &ProcessList) {
-        for hello in list.linked.iter().filter(|hello| hello.role != Role::Observer) {
-            self.learn_process(now, hello.role, &hello.ip, Some(&hello.node));
-        }
-        // A voter is expected to run even when nobody is linked to it.
-        for ip in &list.voters {
-            self.learn_process(now, Role::Registry, ip, None);
-            self.learn_process(now, Role::ConfigStore, ip, None);
-        }
-    }
-
-    fn learn_process(&mut self, now: Micros, role: Role, ip: &str, node: Option<&String>) {
-        let Ok(ip) = ip.parse() else { return };
-        let address = ProcessAddress::new(role, ip);
-        if self.processes.len() >= MAX_PROCESSES && !self.processes.contains_key(&address) {
-            return;
-        }
-        let new = || Process { last_answer: now, ..Process::default() };
-        let process = self.processes.entry(address).or_insert_with(new);
-        if process.node.is_none() {
-            process.node = node.cloned();
+        for ExpectedProcess { address, node } in list.expected_processes() {
+            if self.processes.len() >= MAX_PROCESSES && !self.processes.contains_key(&address) {
+                continue;
+            }
+            let new = || Process { last_answer: now, ..Process::default() };
+            let process = self.processes.entry(address).or_insert_with(new);
+            if process.node.is_none() {
+                process.node = node.cloned();
+            }
         }
     }
 
--- a/crates/exporter/tests/process_table.rs
+++ b/crates/exporter/tests/process_table.rs
@@ -5,8 +5,9 @@
 use googletest::prelude::*;
 use pinerelay_exporter::alerts::Alerts;
 use pinerelay_exporter::exposition::{self, ExporterMetrics};
-use pinerelay_exporter::process_table::{ProcessAddress, ProcessTable, POLL_INTERVAL};
+use pinerelay_exporter::process_table::{ProcessTable, POLL_INTERVAL};
 use pinerelay_peer_link::message::{Hello, Metric, ProcessList, Role};
+use pinerelay_peer_link::process_address::ProcessAddress;
 use pinerelay_peer_link::query::ProcessReport;
 
 const CORE: Ipv4Addr = Ipv4Addr::new(127, 0, 1, 1);
--- a/crates/pinectl/src/listings.rs
+++ b/crates/pinectl/src/listings.rs
@@ -7,11 +7,12 @@
 use pinerelay_config_state::server::{Server, ServerState};
 use pinerelay_config_state::{ItemSet, Kind};
 use pinerelay_peer_link::message::Role;
+use pinerelay_peer_link::process_address::ProcessAddress;
 use pinerelay_peer_link::query::ProcessReport;
 
 use crate::command::KINDS;
 use crate::report::{Cell, Report, Table};
-use crate::snapshot::{ProcessAddress, ProcessAnswer, Snapshot};
+use crate::snapshot::{ProcessAnswer, Snapshot};
 
 /// The name of a kind of configuration items.
 pub fn kind_name(kind: Kind) -> &'static str {
--- a/crates/pinectl/src/snapshot.rs
+++ b/crates/pinectl/src/snapshot.rs
@@ -1,12 +1,12 @@
 //! What all processes answer at one time: the registries first, then the processes that they name.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::net::Ipv4Addr;
 use std::time::Duration;
 
 use pinerelay_config_state::ItemSet;
-use pinerelay_node_runtime::internal_port;
-use pinerelay_peer_link::message::{Hello, Role};
+use pinerelay_peer_link::message::{Hello, ProcessList, Role};
+use pinerelay_peer_link::process_address::ProcessAddress;
 use pinerelay_peer_link::query::{query, ProcessReport, Query, QueryError};
 use thiserror::Error;
 use tokio::task::JoinSet;
@@ -23,26 +23,6 @@
 /// The most bytes of an answer.
 const MAX_ANSWER_BYTES: u64 = 32 << 20;
 
-/// Where a process is reached.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ProcessAddress {
-    /// Its program.
-    pub role: Role,
-    /// Its machine.
-    pub ip: Ipv4Addr,
-}
-
-impl ProcessAddress {
-    fn socket_address(self, first_port: u16) -> SocketAddrV4 {
-        let offset = match self.role {
-            Role::Proxy => internal_port::PROXY,
-            Role::ConfigStore => internal_port::CONFIG_STORE,
-            Role::Registry | Role::Observer => internal_port::REGISTRY,
-        };
-        SocketAddrV4::new(self.ip, first_port.saturating_add(offset))
-    }
-}
-
 /// Why there is no answer of a process.
 #[derive(Debug, Error)]
 pub enum ProcessError {
@@ -82,7 +62,7 @@
 /// Queries processes, beginning with the registries at these endpoints.
 pub async fn take_snapshot(endpoints: &InternalEndpoints, scope: Scope) -> Snapshot {
     let mut snapshot = Snapshot::default();
-    let seeds = endpoints.machines.iter().map(|ip| ProcessAddress { role: Role::Registry, ip: *ip });
+    let seeds = endpoints.machines.iter().map(|ip| ProcessAddress::new(Role::Registry, *ip));
     let mut due: BTreeSet<ProcessAddress> = seeds.collect();
     while !due.is_empty() && snapshot.answers.len() < MAX_PROCESSES {
         let left = MAX_PROCESSES - snapshot.answers.len();
@@ -142,16 +122,10 @@
 
     /// The processes that registries have named and that were not queried yet.
     fn unqueried(&self, scope: Scope) -> BTreeSet<ProcessAddress> {
-        let mut named = BTreeSet::new();
-        for list in self.reports(Role::Registry).filter_map(|(_, report)| report.process_list.as_ref()) {
-            let linked = list.linked.iter().map(|hello| (hello.role, &hello.ip));
-            // A voter is expected to run even when nobody is linked to it.
-            let voters = list.voters.iter().flat_map(|ip| [(Role::Registry, ip), (Role::ConfigStore, ip)]);
-            let addresses = linked.chain(voters);
-            named.extend(
-                addresses.filter_map(|(role, ip)| Some(ProcessAddress { role, ip: ip.parse().ok()? })),
-            );
-        }
+        let reports = self.reports(Role::Registry);
+        let lists = reports.filter_map(|(_, report)| report.process_list.as_ref());
+        let expected = lists.flat_map(ProcessList::expected_processes);
+        let mut named: BTreeSet<ProcessAddress> = expected.map(|process| process.address).collect();
         named.retain(|process| match process.role {
             Role::Observer => false,
             Role::Registry => !self.answers.contains_key(process),
