--- a/crates/admission/src/duty.rs
+++ b/crates/admission/src/duty.rs
@@ -1,14 +1,15 @@
-//! Duties: each tenant's units are counted by one node at a time.
+//! Duties: exclusive ownership of keys, such as tenants, by one node at a time, based on majority leases.
 //!
-//! Keys are divided into slices. A slice belongs to the node that rendezvous hashing names among those it sees alive. The node
-//! acts only while it holds a lease: a majority of the voters has promised it the slice for a time that it counts from before
-//! it asked, and a voter promises a slice to nobody else until that time is over on its own clock. So two nodes never act at
-//! once, whatever each of them sees, and clocks need to agree in nothing but their pace (Gray and Cheriton, "Leases", 1989).
+//! Keys are hashed into slices. A node claims the slices that rendezvous hashing assigns to it among the nodes that it sees
+//! alive. It acts for a slice only while it holds a lease: a majority of the voters has promised it the slice for a period that
+//! the node counts from before it sent the claim, and a voter promises the slice to no other node until that period has expired
+//! on the voter's own clock. So two nodes never act for a slice at once, whatever each of them sees, and clocks need to agree
+//! only in their rate (Gray and Cheriton, "Leases", 1989).
 //!
-//! The voters change by epochs, and a majority of one epoch need not meet a majority of the next. So a node acts only while a
-//! quorum has confirmed a short while ago that its epoch is the newest. After a change it needs a majority of the epoch before
-//! as well, until all leases of that epoch have ended ([`JOINT_PERIOD`]; compare joint consensus in Ongaro and Ousterhout, "In
-//! Search of an Understandable Consensus Algorithm", 2014, section 6).
+//! The set of voters changes by epochs, and a majority of one epoch need not intersect a majority of the next. So a node acts
+//! only while a quorum has recently confirmed that its epoch is the newest. After a change it also needs a majority of the
+//! previous epoch's voters, until all leases of that epoch have expired ([`JOINT_PERIOD`]; compare joint consensus in Ongaro and
+//! Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section 6).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,42 +18,42 @@
 
 use crate::Micros;
 
-/// The number of slices that keys are divided into.
+/// The number of slices that keys are hashed into.
 pub const SLICE_COUNT: usize = 16;
-/// For how long a voter promises a slice.
+/// For how long a voter's promise of a slice is valid.
 const PROMISE_DURATION: Micros = 900_000;
-/// The holder of a lease stops so much earlier: clocks differ in pace.
+/// The holder of a lease stops this much before the promises expire, because clocks run at different rates.
 const CLOCK_MARGIN: Micros = 100_000;
-/// For so long after a change of epoch majorities of both epochs are needed. It is longer than the lease of an epoch, counted
-/// from when that was the newest, and an epoch is agreed on no sooner than this after the one before.
+/// For this long after a change of epoch, majorities of both epochs are needed. This is longer than the lease of an epoch,
+/// counted from when that epoch was the newest. Consecutive epochs are agreed on at least this far apart.
 pub const JOINT_PERIOD: Micros = 4_400_000;
-/// How often a holder renews its leases.
+/// How often a node renews its claims.
 const RENEWAL_INTERVAL: Micros = 250_000;
-/// How soon a node asks again that was not promised all it asked for.
+/// After an incomplete promise the node claims again after this time at the latest.
 const RETRY_INTERVAL: Micros = 50_000;
 
 /// A message between the nodes that share duties. The order of variants and fields is part of the encoding on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum DutyMessage {
-    /// Requests a promise of these slices.
+    /// Requests promises for a set of slices, or their renewal.
     Claim {
-        /// The number of the claim; returned.
+        /// The number of the claim, which the answer repeats.
         claim: u64,
-        /// One bit for each slice.
+        /// Bit set of the claimed slices.
         slices: u32,
     },
-    /// These slices are promised.
+    /// Answers a claim with the slices that the sender promises.
     Promise {
-        /// The claim that is answered.
+        /// The number of the answered claim.
         claim: u64,
-        /// One bit for each slice.
+        /// Bit set of the promised slices.
         slices: u32,
     },
-    /// The sender does not act for these slices any more.
+    /// The sender no longer acts for a set of slices, and promises to it can be dropped.
     Release {
-        /// The last claim that is given up: a promise to a later one stands.
+        /// The last claim that this release covers; promises for later claims stay valid.
         claim: u64,
-        /// One bit for each slice.
+        /// Bit set of the released slices.
         slices: u32,
     },
 }
@@ -60,48 +61,48 @@
 /// The voters of an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Voters {
-    /// Rises with each change; 0 if no voters are known.
+    /// Increases with each change of the voters; 0 if none are known.
     pub epoch: u64,
-    /// The nodes that vote.
+    /// The voters of this epoch.
     pub members: Vec<String>,
-    /// The voters of the epoch before; empty in the first.
+    /// The voters of the previous epoch; empty in the first one.
     pub previous: Vec<String>,
 }
 
-/// The slice that a key is in.
+/// Returns the slice that a key belongs to.
 pub fn slice_of(key: &str) -> usize {
     (hash::hash_parts(&[key.as_bytes()]) % SLICE_COUNT as u64) as usize
 }
 
-/// The node that a slice belongs to, among those that are alive.
+/// Returns the node that should own a slice, chosen by rendezvous hashing among the live nodes.
 pub fn slice_owner<'a>(slice: usize, alive: impl IntoIterator<Item = &'a String>) -> Option<&'a String> {
     hash::rendezvous_order(&format!("duty-{slice}"), alive).into_iter().next()
 }
 
-/// The slices of a set of bits.
+/// Iterates over the slices whose bits are set.
 fn slices_in(bits: u32) -> impl Iterator<Item = usize> {
     (0..SLICE_COUNT).filter(move |slice| bits & (1 << slice) != 0)
 }
 
-/// A claim that has not been renewed by the next one yet.
+/// The latest claim of a slice; the next claim replaces it.
 #[derive(Debug, Clone)]
 struct Claim {
     number: u64,
-    asked_at: Micros,
+    sent_at: Micros,
     promised_by: BTreeSet<String>,
 }
 
 /// This node's lease of one slice.
 #[derive(Debug, Clone, Default)]
 struct SliceLease {
-    /// The node may act until then; 0 if it has no lease.
+    /// The lease's end; 0 if there is no lease.
     expires_at: Micros,
-    /// The voters whose promises it rests on.
+    /// The voters whose promises support the lease.
     promised_by: BTreeSet<String>,
     claim: Option<Claim>,
 }
 
-/// A promise that this node has made.
+/// A promise of one slice that this node has made as a voter.
 #[derive(Debug, Clone)]
 struct SlicePromise {
     holder: String,
@@ -109,39 +110,40 @@
     expires_at: Micros,
 }
 
-/// What is to be done about duties.
+/// An action that the caller of [`DutyTable`] has to carry out.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DutyAction {
     /// Send a message to another node.
     Send(String, DutyMessage),
-    /// From now on this node acts for a slice, and knows nothing of what was done for it before.
+    /// This node starts to act for a slice, without any state from its previous owner.
     Acquired(usize),
 }
 
-/// One node's duties, and what it has promised to others.
+/// The leases that one node holds, and the promises that it has made as a voter.
 #[derive(Debug)]
 pub struct DutyTable {
     own_name: String,
     voters: Voters,
-    /// Majorities of both epochs are needed until then.
+    /// Until this time, majorities of both epochs are needed.
     joint_until: Micros,
-    /// A quorum has confirmed that the epoch was the newest; the node may act until then.
+    /// The end of the epoch's lease: a quorum has confirmed that the epoch was the newest, so the node may act until this time.
     epoch_lease_until: Micros,
     alive: BTreeSet<String>,
-    /// An earlier process may have promised slices. This one promises nothing until those promises are over, or until all who
-    /// may hold them have learned that it is a new process, and have dropped them.
+    /// An earlier process of this node may have promised slices. This process promises nothing until those promises have
+    /// expired, or until all nodes that may rely on them have learned of the restart and dropped them.
     promises_from: Micros,
-    /// Nodes that have learned so.
+    /// Nodes that have learned of the restart.
     introduced_to: BTreeSet<String>,
     leases: Vec<SliceLease>,
-    /// By slice.
+    /// Promises that this node has made, by slice.
     promises: BTreeMap<usize, SlicePromise>,
     last_claim: u64,
     renew_at: Micros,
 }
 
 impl DutyTable {
-    /// The duties of a process that starts now. `first_start`: the whole system does, and no slice was promised before.
+    /// Creates the table of a process that starts now. `first_start` means that the whole system starts for the first time, so
+    /// no earlier process has promised a slice.
     pub fn new(now: Micros, own_name: &str, first_start: bool) -> DutyTable {
         DutyTable {
             own_name: own_name.into(),
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Puts voters in force, unless they are older than those that are known.
+    /// Replaces the voters, unless the given epoch is not newer than the known one.
     pub fn set_voters(&mut self, now: Micros, voters: Voters) {
         if voters.epoch <= self.voters.epoch {
             return;
@@ -170,36 +172,36 @@
         self.drop_unsupported(now);
     }
 
-    /// A quorum has confirmed that an epoch was the newest: the node may act in it until `until`.
+    /// Records that a quorum has confirmed `epoch` as the newest one: the node may act in it until `until`.
     pub fn epoch_confirmed(&mut self, epoch: u64, until: Micros) {
         if epoch == self.voters.epoch {
             self.epoch_lease_until = self.epoch_lease_until.max(until);
         }
     }
 
-    /// Another node has known an epoch for longer than [`JOINT_PERIOD`].
+    /// Records that another node has known `epoch` for longer than [`JOINT_PERIOD`], which ends the joint period here as well.
     pub fn epoch_settled(&mut self, epoch: u64) {
         if epoch == self.voters.epoch {
             self.joint_until = 0;
         }
     }
 
-    /// The epoch of the voters that it knows.
+    /// The newest known epoch of voters.
     pub fn epoch(&self) -> u64 {
         self.voters.epoch
     }
 
-    /// Whether majorities of both epochs are needed: the epoch has not been known for [`JOINT_PERIOD`], here or elsewhere.
+    /// Whether majorities of both epochs are needed: no node is known to have had the epoch for [`JOINT_PERIOD`].
     pub fn is_joint(&self, now: Micros) -> bool {
         now < self.joint_until
     }
 
-    /// Another node has learned that this process is a new one.
+    /// Records that another node has learned that this process is a new one.
     pub fn peer_introduced(&mut self, name: &str) {
         self.introduced_to.insert(name.into());
     }
 
-    /// Another node's process is a new one: what the earlier one promised does not count any more.
+    /// Handles the restart of another node: promises of its earlier process are no longer valid.
     pub fn peer_restarted(&mut self, now: Micros, name: &str) {
         for lease in &mut self.leases {
             if let Some(claim) = &mut lease.claim {
@@ -212,7 +214,7 @@
         self.drop_unsupported(now);
     }
 
-    /// Gives up leases that not enough voters have promised.
+    /// Drops leases that are no longer supported by a majority.
     fn drop_unsupported(&mut self, now: Micros) {
         for slice in 0..SLICE_COUNT {
             let lease = &self.leases[slice];
@@ -223,16 +225,16 @@
         }
     }
 
-    /// Whether nodes are a majority of the voters, and of those before as long as that is needed.
+    /// Whether the nodes are a majority of the voters and, during the joint period, of the previous voters too.
     fn is_majority(&self, now: Micros, nodes: &BTreeSet<String>) -> bool {
         let is_majority_of =
             |voters: &[String]| voters.iter().filter(|name| nodes.contains(*name)).count() * 2 > voters.len();
         is_majority_of(&self.voters.members) && (!self.is_joint(now) || is_majority_of(&self.voters.previous))
     }
 
-    /// Whether a node takes duties. One that has restarted may know the previous epoch alone, and waits for its voters to have
-    /// learned of the restart; so no new voter acts before that epoch is over.
-    fn takes_duties(&self, now: Micros, name: &String) -> bool {
+    /// Whether a node is eligible for slices. New voters are not during the joint period: a restarted node may know only the
+    /// previous epoch, and before it promises again it waits just for that epoch's voters to learn of the restart.
+    fn is_eligible(&self, now: Micros, name: &String) -> bool {
         let Voters { members, previous, .. } = &self.voters;
         members.contains(name) && (!self.is_joint(now) || previous.contains(name))
     }
@@ -247,12 +249,13 @@
         now < self.leases[slice].expires_at.min(self.epoch_lease_until)
     }
 
-    /// The number of slices that it may act for.
+    /// The number of slices that this node may act for now.
     pub fn held_count(&self, now: Micros) -> usize {
         (0..SLICE_COUNT).filter(|&slice| self.holds(now, slice)).count()
     }
 
-    /// Time has passed, or nodes have come or gone. `alive`: the other nodes that are heard.
+    /// Claims, renews and releases slices as time passes or the set of live nodes changes. `alive` holds the other nodes that are
+    /// reachable.
     pub fn tick(&mut self, now: Micros, alive: BTreeSet<String>, actions: &mut Vec<DutyAction>) {
         let has_changed = alive != self.alive;
         self.alive = alive;
@@ -261,7 +264,7 @@
         }
         self.renew_at = now + RENEWAL_INTERVAL;
         let owned = self.owned_slices(now);
-        let released = self.give_up_others(owned);
+        let released = self.drop_unowned(owned);
         if released != 0 {
             let claim = self.last_claim;
             self.broadcast(DutyMessage::Release { claim, slices: released }, actions);
@@ -272,17 +275,17 @@
         }
     }
 
-    /// The slices that belong to this node, one bit each.
+    /// The bit set of the slices that this node should own.
     fn owned_slices(&self, now: Micros) -> u32 {
         let nodes = self.alive.iter().chain(std::iter::once(&self.own_name));
-        let nodes: Vec<&String> = nodes.filter(|name| self.takes_duties(now, name)).collect();
+        let nodes: Vec<&String> = nodes.filter(|name| self.is_eligible(now, name)).collect();
         let is_owned = |slice: &usize| slice_owner(*slice, nodes.iter().copied()) == Some(&self.own_name);
         (0..SLICE_COUNT).filter(is_owned).fold(0, |bits, slice| bits | 1 << slice)
     }
 
-    /// Gives up all slices but the owned ones; returns those that were held or claimed. A claim that too few voters have
-    /// promised was promised by some all the same.
-    fn give_up_others(&mut self, owned: u32) -> u32 {
+    /// Drops all leases and claims except for the owned slices, and returns the bit set of those to release. Claims without a
+    /// majority are released too, because some voters may have promised them.
+    fn drop_unowned(&mut self, owned: u32) -> u32 {
         let mut released = 0;
         for slice in slices_in(!owned) {
             let lease = &mut self.leases[slice];
@@ -299,21 +302,21 @@
         let claim = self.last_claim;
         for slice in slices_in(slices) {
             let promised_by = BTreeSet::new();
-            self.leases[slice].claim = Some(Claim { number: claim, asked_at: now, promised_by });
+            self.leases[slice].claim = Some(Claim { number: claim, sent_at: now, promised_by });
         }
         self.broadcast(DutyMessage::Claim { claim, slices }, actions);
         let promised = self.promise(now, &self.own_name.clone(), claim, slices);
         self.on_promise(now, &self.own_name.clone(), claim, promised, actions);
     }
 
-    /// Gives all duties up, at a planned shutdown.
+    /// Releases all slices and stops claiming, at a planned shutdown.
     pub fn release_all(&mut self, actions: &mut Vec<DutyAction>) {
         self.leases = vec![SliceLease::default(); SLICE_COUNT];
         self.renew_at = Micros::MAX;
         self.broadcast(DutyMessage::Release { claim: self.last_claim, slices: u32::MAX }, actions);
     }
 
-    /// Handles a message of another node.
+    /// Handles a message from another node.
     pub fn receive(&mut self, now: Micros, from: &str, message: DutyMessage, actions: &mut Vec<DutyAction>) {
         match message {
             DutyMessage::Claim { claim, slices } => {
@@ -328,7 +331,7 @@
         }
     }
 
-    /// What another node still holds is claimed again soon: it may have been released by then.
+    /// Brings the next claim forward if a slice of this claim is still without a lease: its current holder may release it soon.
     fn retry_soon(&mut self, now: Micros, claim: u64) {
         let is_open = |lease: &SliceLease| {
             lease.expires_at <= now && lease.claim.as_ref().is_some_and(|open| open.number == claim)
@@ -343,7 +346,7 @@
         actions.extend(voters.map(|voter| DutyAction::Send(voter.clone(), message.clone())));
     }
 
-    /// Whether this process may promise slices yet. Without the lease of the epoch there may be voters that it has not heard of.
+    /// Whether this process may promise slices yet. Without an epoch lease there may be voters that it does not know.
     fn may_promise(&mut self, now: Micros) -> bool {
         if now < self.promises_from {
             let knows_voters = now < self.epoch_lease_until;
@@ -355,7 +358,7 @@
         true
     }
 
-    /// Promises slices to a node, unless they are promised to others; returns those that are promised.
+    /// Promises slices to a node, except those promised to other nodes; returns the bit set of the promised ones.
     fn promise(&mut self, now: Micros, to: &str, claim: u64, slices: u32) -> u32 {
         if !self.may_promise(now) {
             return 0;
@@ -394,7 +397,7 @@
                 continue;
             };
             open.promised_by.insert(from.into());
-            let expires_at = open.asked_at + PROMISE_DURATION - CLOCK_MARGIN;
+            let expires_at = open.sent_at + PROMISE_DURATION - CLOCK_MARGIN;
             let promised_by = open.promised_by.clone();
             if now < expires_at && self.is_majority(now, &promised_by) {
                 let lease = &mut self.leases[slice];
--- a/crates/admission/src/lease_cache.rs
+++ b/crates/admission/src/lease_cache.rs
@@ -1,8 +1,9 @@
-//! The leases of quota units that one proxy holds, the requests that wait for one, and the promised returns.
+//! The quota units that are leased to one proxy, the client requests that wait for a lease, and the promised returns of rejected
+//! clients.
 //!
-//! Admission follows DSRT ("Please come back later"): beyond quota, a request is rejected with a time at which to come back,
-//! spaced past the latest that was promised, while few enough promises are open; otherwise it is rejected without a time. A
-//! promised return is not deferred twice.
+//! Admission follows DSRT ("Please come back later"): a request beyond the quota is rejected with the time after which to retry,
+//! spaced past the latest promised one, as long as few enough promises are open. Otherwise it is rejected without a time. A client
+//! that returns as promised is not deferred again.
 
 use std::collections::BTreeMap;
 
@@ -19,34 +20,34 @@
 /// Identifies a client's request.
 pub type RequestId = u64;
 
-/// What happens to a request.
+/// The outcome of admission for a client's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Admitted: it has taken its unit.
+    /// Admitted; a unit was spent if the tenant has a quota.
     Admitted,
-    /// It waits for a lease that has been requested.
+    /// Waits for a lease; a [`Decision`] follows unless the request is cancelled.
     Waiting,
-    /// Rejected, and to come back after this time, in microseconds.
+    /// Rejected; the client is asked to come back after this many microseconds.
     Deferred(Micros),
-    /// Rejected without a time: it has come back as promised, or enough others have been promised a return.
+    /// Rejected without a time, because it counts as a promised return or too many promised returns are open.
     Rejected,
 }
 
-/// A request that does not wait any more.
+/// The outcome of a client's request that has waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
     /// The request.
     pub id: RequestId,
-    /// What happens to it.
+    /// Its outcome.
     pub admission: Admission,
 }
 
-/// Requests that were rejected.
+/// The numbers of rejected client requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
-    /// All of them.
+    /// All rejected requests.
     pub total: u64,
-    /// Those for which no count had said that no unit is left: no answer came in time, or this proxy is cut off.
+    /// Those rejected without an allocator's answer that no units are left: none came in time, or this proxy is cut off.
     pub unanswered: u64,
 }
 
@@ -61,34 +62,34 @@
     }
 }
 
-/// The leases of all tenants at one proxy.
+/// The leases of one proxy, for all tenants.
 #[derive(Debug, Default)]
 pub struct LeaseCache {
     tenants: BTreeMap<String, TenantCache>,
-    /// The number of proxies that share the rates, as the counts report.
+    /// The number of proxies that share the quotas' rates.
     proxies: usize,
     rejections: RejectionCounts,
 }
 
 impl LeaseCache {
-    /// A cache without leases.
+    /// Creates a cache without leases.
     pub fn new() -> LeaseCache {
         LeaseCache { proxies: 1, ..LeaseCache::default() }
     }
 
-    /// Sets the number of proxies that share the rates.
+    /// Sets the number of proxies that share the quotas' rates, at least 1.
     pub fn set_proxies(&mut self, proxies: usize) {
         self.proxies = proxies.max(1);
     }
 
-    /// Nobody is there that a lease for this tenant could be requested from.
+    /// Records that a tenant's lease request could not be sent, because no node that owns the tenant is reachable.
     pub fn no_owner_reached(&mut self, now: Micros, tenant: &str) {
         if let Some(cache) = self.tenants.get_mut(tenant) {
             cache.request_failed(now);
         }
     }
 
-    /// A request of a tenant has come.
+    /// Admits, rejects or queues a client's request.
     pub fn admit(&mut self, now: Micros, tenant: &str, quota: Quota, id: RequestId) -> Admission {
         if quota.rate <= 0.0 {
             return Admission::Admitted;
@@ -116,37 +117,37 @@
         Admission::Waiting
     }
 
-    /// A waiting request has been given up by its client.
+    /// Removes a waiting request that its client has cancelled.
     pub fn cancel(&mut self, tenant: &str, id: RequestId) {
         if let Some(cache) = self.tenants.get_mut(tenant) {
             cache.cancel(id);
         }
     }
 
-    /// The leases to request now, and the units to return.
+    /// Returns the lease requests to send now, which also return unspent units.
     pub fn lease_requests(&mut self, now: Micros) -> Vec<LeaseRequest> {
         let tenants = self.tenants.iter_mut();
         tenants.filter_map(|(tenant, cache)| cache.lease_request(now, tenant)).collect()
     }
 
-    /// A request that was made at `asked_at` has been answered. Returns what happens to the client requests that waited.
+    /// Handles the answer to the lease request that was sent at `sent_at`, and returns the decisions on waiting client requests.
     ///
-    /// The answer may be to a request that has been repeated since. If its lease were counted from the later one, units that a
-    /// link had held up could be spent long after they were counted.
+    /// The lease request may have been repeated since. If the lease counted from the repetition, units in a delayed answer could be
+    /// spent long after they were allocated.
     pub fn granted(
         &mut self,
         now: Micros,
-        asked_at: Micros,
+        sent_at: Micros,
         tenant: &str,
         grant: LeaseGrant,
     ) -> Vec<Decision> {
         let Some(cache) = self.tenants.get_mut(tenant) else { return Vec::new() };
-        if !cache.take_grant(now, asked_at, grant) {
+        if !cache.take_grant(now, sent_at, grant) {
             return Vec::new();
         }
         let mut decisions = cache.admit_waiting(now);
         if cache.has_waiting() {
-            // Fewer units were there than were requested.
+            // Fewer units were granted than requested.
             cache.mark_exhausted(now);
             for id in cache.take_waiting() {
                 self.rejections.add_exhausted();
@@ -156,7 +157,8 @@
         decisions
     }
 
-    /// Time has passed: requests without an answer are repeated, and what has waited for too long is rejected.
+    /// Handles the passing of time: gives up unanswered lease requests so that they are repeated, rejects client requests that have
+    /// waited too long, and returns units that are about to expire.
     pub fn tick(&mut self, now: Micros) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for cache in self.tenants.values_mut() {
@@ -178,12 +180,12 @@
         decisions
     }
 
-    /// The requests that were rejected so far.
+    /// The numbers of client requests rejected so far.
     pub fn rejections(&self) -> RejectionCounts {
         self.rejections
     }
 
-    /// The number of requests that wait.
+    /// The number of waiting client requests.
     pub fn waiting(&self) -> usize {
         self.tenants.values().map(TenantCache::waiting).sum()
     }
--- a/crates/admission/src/lease_cache/tenant.rs
+++ b/crates/admission/src/lease_cache/tenant.rs
@@ -1,5 +1,5 @@
-//! The leases of one tenant at one proxy: units, the requests that wait for them, and the share for the time when no count is
-//! reached.
+//! The state of one tenant at one proxy: leased units, the client requests that wait for them, and the fallback share of the rate
+//! for when no allocating node is reachable.
 
 use std::collections::VecDeque;
 
@@ -12,45 +12,46 @@
 use crate::quota_allocator::{max_share_balance, IDLE_TIMEOUT, SHARE_LIFETIME};
 use crate::Micros;
 
-/// Microseconds over which demand and admissions are smoothed.
+/// The time over which demand and admissions are smoothed, in microseconds.
 const RATE_WINDOW: f64 = 1.0e6;
-/// Units are requested for the demand of this time, in microseconds.
-const LEASE_AHEAD: f64 = 0.3e6;
-/// Or of this part of a lease's duration, if that is shorter.
-const LEASE_AHEAD_OF_DURATION: f64 = 0.5;
-/// A request that comes so long after a promised time counts as that return.
-const RETURN_WINDOW: Micros = 50_000;
-/// A lease request without an answer by then is repeated, maybe to another node.
+/// Units are requested to cover the demand of this period, in microseconds.
+const LEASE_LOOKAHEAD: f64 = 0.3e6;
+/// The period is limited to this fraction of a lease's duration.
+const MAX_LOOKAHEAD_FRACTION: f64 = 0.5;
+/// A request that arrives up to this long after a promised time counts as that client's return.
+const CLIENT_RETURN_WINDOW: Micros = 50_000;
+/// An unanswered lease request is repeated after this time, possibly to another node.
 const LEASE_REQUEST_TIMEOUT: Micros = 120_000;
-/// A client's request that has waited for longer is rejected.
+/// A client's request is rejected when it has waited this long.
 pub(super) const WAIT_TIMEOUT: Micros = 300_000;
-/// After it was told that no unit is left, a proxy asks again no sooner.
-const EXHAUSTED_BACKOFF: Micros = 25_000;
-/// A proxy whose requests fail asks with its clients' requests, and without them once in this time or a quarter less. All
-/// proxies fail at once when nobody counts, for all tenants: their requests must not keep the counts from coming back.
+/// The minimum pause before the next lease request, after one that failed or found no units left.
+const MIN_BACKOFF: Micros = 25_000;
+/// A proxy whose lease requests fail repeats them when clients' requests arrive, and otherwise at this interval or up to a quarter
+/// less. When no node allocates, the requests of all proxies fail at once, for all tenants, and the load of the repetitions must
+/// not keep the allocators from recovering.
 const PROBE_INTERVAL: Micros = 5_000_000;
-/// The part of that by which probes are spread.
+/// The fraction of the interval by which probes are randomly brought forward.
 const PROBE_SPREAD: f64 = 0.25;
-/// How often the pause after a failed request is doubled, before the proxy is cut off.
+/// How often the pause after failed lease requests is doubled at most, before the proxy is cut off.
 const MAX_DOUBLINGS: u32 = 3;
-/// A proxy whose requests have failed for so long is cut off, and spends the share that it was granted last, from its first
-/// failed request on. The count reserves that share from when it last heard the proxy, which is no later, or the proxy reports
-/// what it has spent.
+/// A proxy whose lease requests have failed for this long is cut off. It spends the share that it was granted last, which accrues
+/// from its first failed request on. The allocator reserves that share from when the proxy was last reachable, which is no later,
+/// or else the proxy reports the units that it has spent.
 const CUT_OFF_AFTER: Micros = 250_000;
-/// Clocks differ in pace: a share is not spent that the count may have granted to others by now.
+/// Safety margin for clocks that run at different rates, so that no share is spent that the allocator may have granted to others.
 const SHARE_CLOCK_MARGIN: Micros = 1_000_000;
-/// A share that was granted longer ago is not begun to be spent.
-const SHARE_START_LIMIT: Micros = IDLE_TIMEOUT - SHARE_CLOCK_MARGIN;
-/// A share that was granted longer ago is not spent any more.
-const SHARE_END_LIMIT: Micros = SHARE_LIFETIME - SHARE_CLOCK_MARGIN;
-/// Units that would expire unspent within this time are returned.
-const RETURN_AHEAD: Micros = 60_000;
-/// Keeps divisions by a rate finite.
+/// A proxy does not begin to spend a share that was requested longer ago than this.
+const MAX_SHARE_AGE_AT_START: Micros = IDLE_TIMEOUT - SHARE_CLOCK_MARGIN;
+/// A proxy stops spending a share that was requested longer ago than this.
+const MAX_SHARE_AGE: Micros = SHARE_LIFETIME - SHARE_CLOCK_MARGIN;
+/// Units that would expire unspent within this time are returned to the allocator.
+const UNIT_RETURN_AHEAD: Micros = 60_000;
+/// Lower limit of a rate in divisions, which keeps the result finite.
 const MIN_RATE: f64 = 1e-9;
-/// No spacing of promised returns is longer than that of this rate.
-const MIN_RETURN_RATE: f64 = 1e-3;
+/// Lower limit of the rate, per second, at which clients are asked to return.
+const MIN_CLIENT_RETURN_RATE: f64 = 1e-3;
 
-/// Leased units.
+/// Units that were leased together.
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     expires_at: Micros,
@@ -64,59 +65,59 @@
     since: Micros,
 }
 
-/// What a proxy holds of one tenant's units.
+/// One tenant's units, waiting client requests and promised returns at one proxy.
 #[derive(Debug, Default)]
 pub(super) struct TenantCache {
     quota: Quota,
-    /// In the order in which they expire.
+    /// In order of expiry.
     leases: VecDeque<Lease>,
-    /// How long leases last, as the count said last.
+    /// The lease duration in the last grant; 0 before the first one.
     lease_duration: Micros,
     fencing_token: u64,
-    /// Units to return.
+    /// Unspent units to return with the next lease request.
     returned: f64,
-    /// Since when a lease request has been open.
+    /// When the outstanding lease request was sent.
     requested_at: Option<Micros>,
     waiting: VecDeque<Waiting>,
-    /// No lease is requested before this.
+    /// No lease is requested before this time.
     backoff_until: Micros,
-    /// No unit is left at the count until then.
+    /// The allocator has no units left until this time.
     exhausted_until: Micros,
     demand: Rate,
     admitted: Rate,
-    /// Promised returns.
+    /// The promised returns of rejected clients.
     schedule: Schedule,
-    /// The share of the rate to spend when no count is reached.
+    /// The share of the quota's rate to spend while the proxy is cut off.
     share: f64,
-    /// When the request was made with which the share was granted.
-    share_asked_at: Micros,
+    /// When the lease request was sent whose answer granted the share.
+    share_requested_at: Micros,
     /// Since when lease requests have failed.
     failing_since: Option<Micros>,
-    /// How many have failed in a row.
+    /// The number of lease requests that have failed in a row.
     failures: u32,
-    /// Whether a client's request has come since a lease was requested last.
+    /// Whether a client's request has arrived since the last lease request.
     has_new_arrival: bool,
-    /// Whether the count was asked, and told what is left, since the share has been spent.
+    /// Whether a lease request has been sent since the proxy was cut off, and so has reported what is left of the share.
     has_reported_share: bool,
-    /// When the count is asked without a client's request.
+    /// When the next lease request is due without a client's request.
     probe_at: Micros,
-    /// What is there of the share meanwhile.
+    /// The units accumulated from the share, once it has been used as a fallback.
     share_bucket: Option<Bucket>,
-    /// Units that were spent of the share, in all.
+    /// The total of units spent from the share.
     share_spent: f64,
-    /// Units that were spent of the share since lease requests have failed.
+    /// The units spent from the share since lease requests began to fail.
     share_spent_lately: f64,
 }
 
 impl TenantCache {
-    /// Counts a client's request, and notes the quota in force.
+    /// Counts a client's request, and stores the quota in force.
     pub(super) fn count_arrival(&mut self, now: Micros, quota: Quota) {
         self.quota = quota;
         self.has_new_arrival = true;
         self.demand.add(now, 1.0, RATE_WINDOW);
     }
 
-    /// Units that can be spent now.
+    /// Drops expired leases, and returns the number of units left.
     fn units(&mut self, now: Micros) -> f64 {
         while self.leases.front().is_some_and(|lease| lease.expires_at <= now) {
             self.leases.pop_front();
@@ -124,7 +125,7 @@
         self.leases.iter().map(|lease| lease.units).sum()
     }
 
-    /// Spends one leased unit, if there is one.
+    /// Spends one leased unit; returns `false` if there is none.
     #[must_use]
     pub(super) fn spend(&mut self, now: Micros) -> bool {
         if self.units(now) < 1.0 {
@@ -139,26 +140,26 @@
         true
     }
 
-    /// Whether lease requests have failed for so long that the share is spent.
+    /// Whether lease requests have failed for so long that the proxy falls back to its share.
     pub(super) fn is_cut_off(&self, now: Micros) -> bool {
         self.failing_since.is_some_and(|since| now >= since + CUT_OFF_AFTER)
     }
 
-    /// Whether the count has said that no unit is left.
+    /// Whether the allocator has reported that no units are left.
     pub(super) fn is_exhausted(&self, now: Micros) -> bool {
         now < self.exhausted_until
     }
 
-    /// Notes that fewer units were granted than were requested.
+    /// Records that fewer units were granted than requested.
     pub(super) fn mark_exhausted(&mut self, now: Micros) {
-        self.exhausted_until = self.exhausted_until.max(now + EXHAUSTED_BACKOFF);
+        self.exhausted_until = self.exhausted_until.max(now + MIN_BACKOFF);
     }
 
-    /// Units of the share that are left, if the proxy is cut off and the share is still valid.
+    /// The units of the share that are left; 0 unless the proxy is cut off and the share is still valid.
     fn share_left(&mut self, now: Micros) -> f64 {
         let Some(since) = self.failing_since.filter(|_| self.is_cut_off(now)) else { return 0.0 };
-        let is_stale = since >= self.share_asked_at + SHARE_START_LIMIT;
-        if is_stale || now >= self.share_asked_at + SHARE_END_LIMIT {
+        let is_stale = since >= self.share_requested_at + MAX_SHARE_AGE_AT_START;
+        if is_stale || now >= self.share_requested_at + MAX_SHARE_AGE {
             return 0.0;
         }
         let bucket = self.share_bucket.get_or_insert(Bucket { store: 0.0, at: since });
@@ -166,7 +167,7 @@
         bucket.store
     }
 
-    /// Spends one unit of the share, if the proxy is cut off and one is left.
+    /// Spends one unit of the share; returns `false` if the proxy is not cut off or no unit is left.
     #[must_use]
     pub(super) fn spend_share(&mut self, now: Micros) -> bool {
         if self.share_left(now) < 1.0 {
@@ -180,54 +181,55 @@
         true
     }
 
-    /// A count has answered. The share counts from when it was requested: by then the count had not granted it to others.
-    fn set_share(&mut self, asked_at: Micros, share: f64) {
+    /// Ends the fallback after an allocator's answer, and stores the granted share. The share's age counts from when it was
+    /// requested: until then, the allocator had not granted it to others.
+    fn set_share(&mut self, sent_at: Micros, share: f64) {
         (self.failing_since, self.failures, self.has_reported_share) = (None, 0, false);
         (self.share_bucket, self.share_spent_lately) = (None, 0.0);
-        (self.share, self.share_asked_at) = (share, asked_at);
+        (self.share, self.share_requested_at) = (share, sent_at);
     }
 
-    /// Rejects a request: with a time to come back, spaced past the latest that was promised, while few enough are open. A
-    /// promised return is not deferred again.
+    /// Rejects a client's request, with a time to return that is spaced past the latest promised one, or without a time if too many
+    /// promised returns are open. A promised return is not deferred again.
     pub(super) fn reject(&mut self, now: Micros, proxies: usize) -> Admission {
-        if self.schedule.returns(now, RETURN_WINDOW) {
+        if self.schedule.returns(now, CLIENT_RETURN_WINDOW) {
             return Admission::Rejected;
         }
         let even_rate = self.quota.rate / proxies.max(1) as f64;
-        let rate = self.admitted.get(now, RATE_WINDOW).max(even_rate).max(MIN_RETURN_RATE);
+        let rate = self.admitted.get(now, RATE_WINDOW).max(even_rate).max(MIN_CLIENT_RETURN_RATE);
         let spacing = 1e6 / rate;
         let burst_duration = self.quota.burst / self.quota.rate.max(MIN_RATE) * 1e6;
         let promised = self.schedule.promise(now, spacing, burst_duration);
         promised.map_or(Admission::Rejected, Admission::Deferred)
     }
 
-    /// Units that it should hold.
+    /// The number of units that the proxy should hold, given its demand.
     fn target_units(&self, now: Micros) -> f64 {
-        let of_duration = match self.lease_duration {
-            0 => LEASE_AHEAD,
-            duration => duration as f64 * LEASE_AHEAD_OF_DURATION,
+        let max_lookahead = match self.lease_duration {
+            0 => LEASE_LOOKAHEAD,
+            duration => duration as f64 * MAX_LOOKAHEAD_FRACTION,
         };
-        self.demand.get(now, RATE_WINDOW) * of_duration.min(LEASE_AHEAD) / 1e6
+        self.demand.get(now, RATE_WINDOW) * max_lookahead.min(LEASE_LOOKAHEAD) / 1e6
     }
 
-    /// Units to request now.
+    /// The number of units to request now; 0 for no request.
     fn wanted_units(&mut self, now: Micros) -> f64 {
         if self.requested_at.is_some() || now < self.backoff_until || now < self.exhausted_until {
             return 0.0;
         }
         let (units, target) = (self.units(now), self.target_units(now));
-        // A proxy whose requests have failed goes on to ask; otherwise it would spend its share for good.
-        let least = if self.is_probe_due(now) { 1.0 } else { 0.0 };
-        let waiting = (self.waiting.len() as f64).max(least);
+        // After failures the proxy keeps sending lease requests. Otherwise it would never return from its share to leases.
+        let min_units = if self.is_probe_due(now) { 1.0 } else { 0.0 };
+        let waiting = (self.waiting.len() as f64).max(min_units);
         if waiting == 0.0 && units >= target / 2.0 {
             return 0.0;
         }
-        // Where each proxy sees little of a tenant, one unit more than needed at each would be more than there is.
+        // Rounded to the nearest: with little demand at each of many proxies, one surplus unit at each would exceed the quota.
         (waiting + (target - units).round().max(0.0)).max(0.0)
     }
 
-    /// Whether a proxy whose requests have failed asks again, also for no request that waits. What it spends of its share is
-    /// reported with the request that follows; how the rest grows the count knows by itself once it has been told of it.
+    /// Whether, after failures, a lease request is due even if no client's request waits. Units spent from the share are reported
+    /// with the lease request that follows. The allocator computes by itself how the remainder grows, once it was reported.
     fn is_probe_due(&self, now: Micros) -> bool {
         let is_unreported = self.is_cut_off(now) && !self.has_reported_share;
         self.failing_since.is_some() && (self.has_new_arrival || is_unreported || now >= self.probe_at)
@@ -239,7 +241,7 @@
         self.probe_at = now + (PROBE_INTERVAL as f64 * (1.0 - spread)) as Micros;
     }
 
-    /// The lease request to send now, if any.
+    /// Returns the lease request to send now, if any, and records it as sent.
     pub(super) fn lease_request(&mut self, now: Micros, tenant: &str) -> Option<LeaseRequest> {
         let wanted = self.wanted_units(now);
         if wanted < 1.0 && self.returned < 1.0 {
@@ -263,30 +265,30 @@
         })
     }
 
-    /// A lease request has reached nobody, or nobody who counts for the tenant.
+    /// Records that no lease request could be sent, because no owner of the tenant is reachable.
     pub(super) fn request_failed(&mut self, now: Micros) {
         self.requested_at = None;
-        self.failed(now);
+        self.record_failure(now);
     }
 
-    /// A lease request has failed.
-    fn failed(&mut self, now: Micros) {
+    /// Records a failed lease request, and sets the pause before the next one.
+    fn record_failure(&mut self, now: Micros) {
         self.failing_since.get_or_insert(now);
-        // What is spent of the share is reported without delay.
+        // A proxy that is cut off reports the units spent from its share without a longer pause.
         let doublings = if self.is_cut_off(now) { 0 } else { self.failures.min(MAX_DOUBLINGS) };
-        self.backoff_until = now + (EXHAUSTED_BACKOFF << doublings);
+        self.backoff_until = now + (MIN_BACKOFF << doublings);
         self.failures += 1;
     }
 
-    /// Takes the answer to a lease request; returns whether a count has given it.
-    pub(super) fn take_grant(&mut self, now: Micros, asked_at: Micros, grant: LeaseGrant) -> bool {
-        if self.requested_at.is_some_and(|last| last <= asked_at) {
+    /// Handles the answer to a lease request; returns whether it came from the tenant's allocator.
+    pub(super) fn take_grant(&mut self, now: Micros, sent_at: Micros, grant: LeaseGrant) -> bool {
+        if self.requested_at.is_some_and(|last| last <= sent_at) {
             self.requested_at = None;
         }
         match grant {
             LeaseGrant::Units { units, duration, fencing_token, share } => {
-                // The lease counts from when it was requested: what the transit took is the proxy's loss.
-                let expires_at = asked_at.saturating_add(duration);
+                // The lease counts from when it was requested, so its usable time is shortened by the transit.
+                let expires_at = sent_at.saturating_add(duration);
                 if expires_at > now && units >= 1.0 {
                     self.leases.push_back(Lease { expires_at, units });
                 }
@@ -294,57 +296,57 @@
                 if self.fencing_token != fencing_token {
                     (self.fencing_token, self.returned) = (fencing_token, 0.0);
                 }
-                self.set_share(asked_at, share);
+                self.set_share(sent_at, share);
                 true
             }
             LeaseGrant::Exhausted { retry_after, share } => {
-                self.exhausted_until = now.saturating_add(retry_after.max(EXHAUSTED_BACKOFF));
-                self.set_share(asked_at, share);
+                self.exhausted_until = now.saturating_add(retry_after.max(MIN_BACKOFF));
+                self.set_share(sent_at, share);
                 true
             }
             LeaseGrant::NotOwner => {
-                self.failed(now);
+                self.record_failure(now);
                 false
             }
         }
     }
 
-    /// Lets a client's request wait.
+    /// Adds a client's request to the queue.
     pub(super) fn wait(&mut self, now: Micros, id: RequestId) {
         self.waiting.push_back(Waiting { id, since: now });
     }
 
-    /// Whether any request waits.
+    /// Whether any client's request waits.
     pub(super) fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// The number of requests that wait.
+    /// The number of waiting client requests.
     pub(super) fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The request that has waited longest.
+    /// The client's request that has waited longest.
     pub(super) fn first_waiting(&self) -> Option<RequestId> {
         self.waiting.front().map(|waiting| waiting.id)
     }
 
-    /// Removes the request that has waited longest.
+    /// Removes the client's request that has waited longest.
     pub(super) fn remove_first_waiting(&mut self) {
         self.waiting.pop_front();
     }
 
-    /// Removes a request.
+    /// Removes a cancelled request.
     pub(super) fn cancel(&mut self, id: RequestId) {
         self.waiting.retain(|waiting| waiting.id != id);
     }
 
-    /// Removes all requests that wait.
+    /// Removes and returns all waiting requests.
     pub(super) fn take_waiting(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waiting).into_iter().map(|waiting| waiting.id).collect()
     }
 
-    /// Admits requests that wait, as far as there are units.
+    /// Admits waiting requests in order while leased units are left.
     pub(super) fn admit_waiting(&mut self, now: Micros) -> Vec<Decision> {
         let mut decisions = Vec::new();
         while let Some(id) = self.first_waiting() {
@@ -357,30 +359,30 @@
         decisions
     }
 
-    /// Whether the request that has waited longest is to be rejected.
+    /// Whether the request that has waited longest should be rejected: it has timed out, or the share is in use as a fallback.
     pub(super) fn has_waited_too_long(&self, now: Micros) -> bool {
-        let is_late = self.waiting.front().is_some_and(|waiting| now >= waiting.since + WAIT_TIMEOUT);
-        is_late || self.share_bucket.is_some()
+        let has_timed_out = self.waiting.front().is_some_and(|waiting| now >= waiting.since + WAIT_TIMEOUT);
+        has_timed_out || self.share_bucket.is_some()
     }
 
-    /// Gives up a lease request without an answer, so that it is repeated.
+    /// Gives up an unanswered lease request after its timeout, so that it is repeated.
     pub(super) fn expire_request(&mut self, now: Micros) {
-        if let Some(asked_at) = self.requested_at.filter(|asked_at| now >= asked_at + LEASE_REQUEST_TIMEOUT) {
+        if let Some(sent_at) = self.requested_at.filter(|sent_at| now >= sent_at + LEASE_REQUEST_TIMEOUT) {
             self.requested_at = None;
-            self.failing_since.get_or_insert(asked_at);
+            self.failing_since.get_or_insert(sent_at);
         }
     }
 
-    /// Returns units that are about to expire and that the demand until then will not need.
+    /// Schedules the return of units that are about to expire and exceed the expected demand until then.
     pub(super) fn return_expiring(&mut self, now: Micros) {
-        while self.leases.front().is_some_and(|lease| lease.expires_at <= now + RETURN_AHEAD) {
+        while self.leases.front().is_some_and(|lease| lease.expires_at <= now + UNIT_RETURN_AHEAD) {
             let Some(lease) = self.leases.pop_front().filter(|lease| lease.expires_at > now) else {
                 continue;
             };
-            let needed = self.demand.get(now, RATE_WINDOW) * RETURN_AHEAD as f64 / 1e6;
-            let spare = (lease.units - needed).round().min(lease.units.floor()).max(0.0);
-            self.returned += spare;
-            let units = lease.units - spare;
+            let needed = self.demand.get(now, RATE_WINDOW) * UNIT_RETURN_AHEAD as f64 / 1e6;
+            let surplus = (lease.units - needed).round().min(lease.units.floor()).max(0.0);
+            self.returned += surplus;
+            let units = lease.units - surplus;
             if units >= 1.0 {
                 self.leases.push_front(Lease { units, ..lease });
                 break;
--- a/crates/admission/src/lease_cache/tests.rs
+++ b/crates/admission/src/lease_cache/tests.rs
@@ -1,4 +1,4 @@
-//! Quotas hold over all proxies, under faults too.
+//! Quotas hold over all proxies together, also under faults; lease requests and promised returns of one proxy.
 
 use googletest::prelude::*;
 use mountbend::measure::lot;
@@ -13,173 +13,183 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Faults {
     None,
-    /// While a count is new nobody is cut off.
-    Alone,
-    /// Whatever comes.
-    Many,
+    /// Takeovers by a new allocator and cut-off proxies do not overlap.
+    Separate,
+    /// Faults of all kinds overlap.
+    Overlapping,
 }
 
-/// Proxies that lease from one count, over a way that takes some milliseconds; some are cut off for a while, freeze,
-/// or die with what they hold; the count's process ends at times, and a new one knows nothing. Tells what ran, when,
-/// and how many were asked for.
+/// Simulates proxies that lease units from one allocator, with a delay of some milliseconds. Proxies are cut off for a while,
+/// freeze, lose answers, or restart without their leases. At times the allocator is replaced by one without its state. Returns
+/// the times of the admitted requests, and the number of arrived ones.
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one play with its checks")]
-fn play(seed: u64, nodes: usize, asked_per_s: f64, faults: Faults) -> (Vec<Micros>, u64) {
-    let some = faults != Faults::None;
+fn simulate(seed: u64, proxies: usize, requests_per_second: f64, faults: Faults) -> (Vec<Micros>, u64) {
+    let has_faults = faults != Faults::None;
     let bounds = QuotaBounds::default();
     let mut random = seed;
-    let mut dice = |most: f64| lot(&mut random) * most;
+    let mut random_below = |end: f64| lot(&mut random) * end;
     let mut allocator = QuotaAllocator::new(0, QUOTA);
-    let mut caches: Vec<LeaseCache> = (0..nodes).map(|_| LeaseCache::new()).collect();
-    caches.iter_mut().for_each(|cache| cache.set_proxies(nodes));
-    let mut cut: Vec<Micros> = vec![0; nodes];
-    let mut heard: Vec<Micros> = vec![0; nodes];
-    let mut frozen: Vec<Micros> = vec![0; nodes];
-    // Answers to these are lost, while their asks come.
-    let mut deaf: Vec<Micros> = vec![0; nodes];
-    let (mut down, mut fence) = (0, 1);
-    let name: Vec<String> = (0..nodes).map(|n| n.to_string()).collect();
-    type Way = Vec<(Micros, usize, Micros, LeaseGrant)>;
-    let (mut way, mut runs, mut arrivals): (Way, Vec<Micros>, u64) = Default::default();
+    let mut caches: Vec<LeaseCache> = (0..proxies).map(|_| LeaseCache::new()).collect();
+    caches.iter_mut().for_each(|cache| cache.set_proxies(proxies));
+    let mut cut_off_until: Vec<Micros> = vec![0; proxies];
+    let mut last_contact: Vec<Micros> = vec![0; proxies];
+    let mut frozen_until: Vec<Micros> = vec![0; proxies];
+    // Until these times, answers to a proxy are lost, while its requests arrive.
+    let mut answers_lost_until: Vec<Micros> = vec![0; proxies];
+    let (mut down_until, mut token) = (0, 1);
+    let names: Vec<String> = (0..proxies).map(|n| n.to_string()).collect();
+    type InFlight = Vec<(Micros, usize, Micros, LeaseGrant)>;
+    let (mut in_flight, mut admitted, mut arrivals): (InFlight, Vec<Micros>, u64) = Default::default();
     for now in (3_000_000..33_000_000_u64).step_by(1_000) {
-        // One trouble at a time: who is cut off holds shares that this count has told.
-        let calm = faults == Faults::Many || now > down + 6_000_000;
-        if some && calm && dice(1.0) < 0.0005 {
-            cut[dice(nodes as f64) as usize] = now + dice(8e6) as Micros;
+        // With separate faults, a proxy that is cut off holds a share that this allocator has granted.
+        let may_cut_off = faults == Faults::Overlapping || now > down_until + 6_000_000;
+        if has_faults && may_cut_off && random_below(1.0) < 0.0005 {
+            cut_off_until[random_below(proxies as f64) as usize] = now + random_below(8e6) as Micros;
         }
-        if some && dice(1.0) < 0.0005 {
-            frozen[dice(nodes as f64) as usize] = now + dice(2e6) as Micros;
+        if has_faults && random_below(1.0) < 0.0005 {
+            frozen_until[random_below(proxies as f64) as usize] = now + random_below(2e6) as Micros;
         }
-        if some && dice(1.0) < 0.0003 {
-            deaf[dice(nodes as f64) as usize] = now + dice(4e6) as Micros;
+        if has_faults && random_below(1.0) < 0.0003 {
+            answers_lost_until[random_below(proxies as f64) as usize] = now + random_below(4e6) as Micros;
         }
-        if some && dice(1.0) < 0.0003 {
-            let node = dice(nodes as f64) as usize;
-            caches[node] = LeaseCache::new();
-            caches[node].set_proxies(nodes);
-            allocator.proxy_ended(now, &name[node]);
+        if has_faults && random_below(1.0) < 0.0003 {
+            let proxy = random_below(proxies as f64) as usize;
+            caches[proxy] = LeaseCache::new();
+            caches[proxy].set_proxies(proxies);
+            allocator.proxy_ended(now, &names[proxy]);
         }
-        if some && (faults == Faults::Many || cut.iter().all(|until| now > *until)) && dice(1.0) < 0.0001 {
-            down = now + dice(3e6) as Micros;
-            fence += 1;
-            allocator = QuotaAllocator::new(down, QUOTA);
+        if has_faults
+            && (faults == Faults::Overlapping || cut_off_until.iter().all(|until| now > *until))
+            && random_below(1.0) < 0.0001
+        {
+            down_until = now + random_below(3e6) as Micros;
+            token += 1;
+            allocator = QuotaAllocator::new(down_until, QUOTA);
         }
-        if name.iter().all(|node| allocator.knows(node)) {
+        if names.iter().all(|proxy| allocator.knows(proxy)) {
             allocator.knows_all();
         }
-        let silent = |node: usize| now > heard[node] + 650_000;
-        let strangers = (0..nodes).any(|node| silent(node) && !allocator.knows(&name[node]));
-        let due: Way = way.iter().filter(|w| w.0 <= now).cloned().collect();
-        way.retain(|w| w.0 > now);
-        let mut ended = Vec::new();
-        for (_, node, asked, grant) in due {
-            if now >= cut[node] && now >= frozen[node] && now >= deaf[node] {
-                ended.extend(caches[node].granted(now, asked, "t", grant));
+        let is_missing = |proxy: usize| now > last_contact[proxy] + 650_000;
+        let has_unknown_missing =
+            (0..proxies).any(|proxy| is_missing(proxy) && !allocator.knows(&names[proxy]));
+        let due: InFlight = in_flight.iter().filter(|answer| answer.0 <= now).cloned().collect();
+        in_flight.retain(|answer| answer.0 > now);
+        let mut decisions = Vec::new();
+        for (_, proxy, sent_at, grant) in due {
+            if now >= cut_off_until[proxy] && now >= frozen_until[proxy] && now >= answers_lost_until[proxy] {
+                decisions.extend(caches[proxy].granted(now, sent_at, "t", grant));
             }
         }
-        for node in 0..nodes {
-            let linked = now >= cut[node] && now >= down;
-            if now >= frozen[node] && linked && now % 200_000 == 0 {
-                heard[node] = now;
-                allocator.proxy_returned(now, &name[node]);
+        for proxy in 0..proxies {
+            let is_linked = now >= cut_off_until[proxy] && now >= down_until;
+            if now >= frozen_until[proxy] && is_linked && now % 200_000 == 0 {
+                last_contact[proxy] = now;
+                allocator.proxy_returned(now, &names[proxy]);
             }
-            if now >= down && now > heard[node] + 650_000 {
-                allocator.proxy_missing(now, &name[node], heard[node]);
+            if now >= down_until && now > last_contact[proxy] + 650_000 {
+                allocator.proxy_missing(now, &names[proxy], last_contact[proxy]);
             }
-            if now < frozen[node] {
+            if now < frozen_until[proxy] {
                 continue;
             }
-            if dice(1.0) < asked_per_s / nodes as f64 / 1e3 {
+            if random_below(1.0) < requests_per_second / proxies as f64 / 1e3 {
                 arrivals += 1;
-                ended.push(Decision { id: 0, admission: caches[node].admit(now, "t", QUOTA, arrivals) });
+                decisions.push(Decision { id: 0, admission: caches[proxy].admit(now, "t", QUOTA, arrivals) });
             }
             if now % 20_000 == 0 {
-                ended.extend(caches[node].tick(now));
+                decisions.extend(caches[proxy].tick(now));
             }
-            for request in caches[node].lease_requests(now) {
-                if linked {
-                    heard[node] = now;
-                    let returned = if request.fencing_token == fence { request.returned } else { 0.0 };
-                    let drawn =
-                        allocator.draw(now, &name[node], strangers, &Usage { returned, ..request.usage() });
-                    let share = drawn.share;
-                    let grant = match drawn.units {
+            for request in caches[proxy].lease_requests(now) {
+                if is_linked {
+                    last_contact[proxy] = now;
+                    let returned = if request.fencing_token == token { request.returned } else { 0.0 };
+                    let allocation = allocator.draw(
+                        now,
+                        &names[proxy],
+                        has_unknown_missing,
+                        &Usage { returned, ..request.usage() },
+                    );
+                    let share = allocation.share;
+                    let grant = match allocation.units {
                         Ok(units) => LeaseGrant::Units {
                             units,
                             duration: bounds.lease_duration(QUOTA),
-                            fencing_token: fence,
+                            fencing_token: token,
                             share,
                         },
                         Err(Exhausted { retry_after }) => LeaseGrant::Exhausted { retry_after, share },
                     };
                     if request.wanted >= 1.0 {
-                        way.push((now + 1_000 + dice(3_000.0) as Micros, node, now, grant));
+                        in_flight.push((now + 1_000 + random_below(3_000.0) as Micros, proxy, now, grant));
                     }
                 }
             }
         }
-        runs.extend(ended.iter().filter(|decision| decision.admission == Admission::Admitted).map(|_| now));
+        admitted.extend(
+            decisions.iter().filter(|decision| decision.admission == Admission::Admitted).map(|_| now),
+        );
     }
-    (runs, arrivals)
+    (admitted, arrivals)
 }
 
-fn most_in_a_window(runs: &[Micros]) -> usize {
-    let mut most = 0;
+fn max_in_window(admitted: &[Micros]) -> usize {
+    let mut largest = 0;
     let mut last = 0;
-    for (first, &from) in runs.iter().enumerate() {
-        while last < runs.len() && runs[last] < from + 5_000_000 {
+    for (first, &from) in admitted.iter().enumerate() {
+        while last < admitted.len() && admitted[last] < from + 5_000_000 {
             last += 1;
         }
-        most = most.max(last - first);
+        largest = largest.max(last - first);
     }
-    most
+    largest
 }
 
 #[gtest]
-fn whatever_is_cut_off_frozen_or_dies_the_quota_holds_in_every_window() {
+fn the_quota_holds_in_every_window_under_cut_offs_freezes_and_restarts() {
     let bound = (QUOTA.rate * 5.0 + QUOTA.burst) * 1.1 + 20.0;
     for seed in 0..12 {
-        for faults in [Faults::Alone, Faults::Many] {
-            let (runs, _) = play(seed, 11, 500.0, faults);
-            expect_that!(most_in_a_window(&runs) as f64, le(bound), "seed {seed}, {faults:?}");
+        for faults in [Faults::Separate, Faults::Overlapping] {
+            let (admitted, _) = simulate(seed, 11, 500.0, faults);
+            expect_that!(max_in_window(&admitted) as f64, le(bound), "seed {seed}, {faults:?}");
         }
     }
 }
 
 #[gtest]
-fn an_answer_that_was_held_up_lives_no_longer_for_an_ask_made_since() {
+fn a_delayed_grant_expires_by_its_own_request_and_not_by_the_repeated_one() {
     let mut cache = LeaseCache::new();
-    let block = |units| LeaseGrant::Units { units, duration: 500_000, fencing_token: 1, share: 0.1 };
+    let lease_of = |units| LeaseGrant::Units { units, duration: 500_000, fencing_token: 1, share: 0.1 };
     expect_that!(cache.admit(0, "t", QUOTA, 1), eq(Admission::Waiting));
     expect_that!(cache.lease_requests(0).len(), eq(1));
     cache.tick(150_000);
-    expect_that!(cache.lease_requests(150_000).len(), eq(1), "made anew");
-    // The first answer comes when its block has died; the second one in time.
+    expect_that!(cache.lease_requests(150_000).len(), eq(1), "the request is repeated");
+    // The first answer arrives when its lease has expired; the second one in time.
     expect_that!(
-        cache.granted(600_000, 0, "t", block(5.0)),
+        cache.granted(600_000, 0, "t", lease_of(5.0)),
         elements_are![all!(
             field!(&Decision.id, eq(1)),
             field!(&Decision.admission, not(eq(Admission::Admitted)))
         )]
     );
-    expect_that!(cache.lease_requests(610_000).len(), eq(0), "one is out");
-    cache.granted(640_000, 150_000, "t", block(2.0));
+    expect_that!(cache.lease_requests(610_000).len(), eq(0), "a request is outstanding");
+    cache.granted(640_000, 150_000, "t", lease_of(2.0));
     expect_that!(cache.admit(641_000, "t", QUOTA, 2), eq(Admission::Admitted));
     expect_that!(cache.admit(651_000, "t", QUOTA, 3), not(eq(Admission::Admitted)));
 }
 
 #[gtest]
-fn a_quota_that_all_ask_for_is_used_and_one_that_few_ask_for_refuses_nobody() {
-    let (runs, _) = play(1, 11, 500.0, Faults::None);
-    let rate = runs.len() as f64 / 30.0;
+fn a_quota_is_used_fully_under_high_demand_and_rejects_few_requests_under_low_demand() {
+    let (admitted, _) = simulate(1, 11, 500.0, Faults::None);
+    let rate = admitted.len() as f64 / 30.0;
     expect_that!(rate, gt(0.93 * QUOTA.rate));
-    // The count's process ends now and then, and proxies are cut off.
-    let (runs, arrivals) = play(5, 11, 60.0, Faults::Alone);
-    expect_that!(runs.len() as f64, gt(0.93 * arrivals as f64));
-    let (runs, arrivals) = play(2, 11, 60.0, Faults::None);
-    expect_that!(runs.len() as f64, gt(0.985 * arrivals as f64));
-    // Thin: a unit every other second at each of many nodes.
-    let (runs, arrivals) = play(3, 85, 60.0, Faults::None);
-    expect_that!(runs.len() as f64, gt(0.97 * arrivals as f64));
+    // Takeovers by a new allocator and cut-off proxies at times.
+    let (admitted, arrivals) = simulate(5, 11, 60.0, Faults::Separate);
+    expect_that!(admitted.len() as f64, gt(0.93 * arrivals as f64));
+    let (admitted, arrivals) = simulate(2, 11, 60.0, Faults::None);
+    expect_that!(admitted.len() as f64, gt(0.985 * arrivals as f64));
+    // Thinly spread: 0.7 requests per second at each of many proxies.
+    let (admitted, arrivals) = simulate(3, 85, 60.0, Faults::None);
+    expect_that!(admitted.len() as f64, gt(0.97 * arrivals as f64));
 }
 
 #[gtest]
@@ -188,34 +198,34 @@
     cache.set_proxies(10);
     expect_that!(cache.admit(0, "t", Quota { rate: 50.0, burst: 25.0 }, 1), eq(Admission::Waiting));
     expect_that!(cache.lease_requests(0).len(), eq(1));
-    let ended = cache.granted(1_000, 0, "t", LeaseGrant::Exhausted { retry_after: 400_000, share: 0.1 });
-    // x is one request over the configured rate over the nodes, 5 a second; the burst lasts 0.5 s: two fit.
-    expect_that!(ended, elements_are![eq(&Decision { id: 1, admission: Admission::Deferred(200_000) })]);
+    let decisions = cache.granted(1_000, 0, "t", LeaseGrant::Exhausted { retry_after: 400_000, share: 0.1 });
+    // Returns are spaced by the proxy's part of the rate, 5 per second; the burst of 0.5 s leaves capacity for two.
+    expect_that!(decisions, elements_are![eq(&Decision { id: 1, admission: Admission::Deferred(200_000) })]);
     let mut arrive = |now| cache.admit(now, "t", Quota { rate: 50.0, burst: 25.0 }, 2);
     expect_that!(arrive(2_000), eq(Admission::Deferred(399_000)));
     expect_that!(arrive(3_000), eq(Admission::Rejected));
-    expect_that!(arrive(205_000), eq(Admission::Rejected), "it has come back as promised");
-    expect_that!(arrive(206_000), eq(Admission::Deferred(395_000)), "a new one");
+    expect_that!(arrive(205_000), eq(Admission::Rejected), "it has returned as promised");
+    expect_that!(arrive(206_000), eq(Admission::Deferred(395_000)), "a new request");
     expect_that!(cache.rejections(), eq(RejectionCounts { total: 5, unanswered: 0 }));
     let quota = Quota { rate: 50.0, burst: 25.0 };
     expect_that!(cache.admit(500_000, "t", quota, 3), eq(Admission::Waiting));
-    expect_that!(cache.tick(500_000 + super::tenant::WAIT_TIMEOUT), len(eq(1)), "no count has answered");
+    expect_that!(cache.tick(500_000 + super::tenant::WAIT_TIMEOUT), len(eq(1)), "no allocator has answered");
     expect_that!(cache.rejections(), eq(RejectionCounts { total: 6, unanswered: 1 }));
 }
 
-// After all machines of a large core had lost power, registries had their duties back within 0.4 s ("acts for 6 of 16
-// slices"), lost them 2.5 s later and did not get them back for good: 285 proxies asked for each of 190 tenants again every
-// 25 ms, whether a client had asked or not, and the registries had a third of a processor. Three of four requests were
-// rejected as long as the clients went on.
+// Guards against an overload by repeated lease requests. After a power loss of a whole core, 285 proxies requested leases for each
+// of 190 tenants every 25 ms, with or without client requests, from registries with a third of a processor. The registries
+// acquired their duties within 0.4 s, lost them 2.5 s later and did not regain them permanently; three of four requests were
+// rejected while the load lasted.
 #[gtest]
-fn while_nobody_counts_leases_are_requested_no_more_often_than_clients_ask() {
+fn without_an_allocator_lease_requests_are_bounded_by_client_requests() {
     const TENANTS: usize = 190;
     const TICK: Micros = 25_000;
     const SECONDS: Micros = 10;
     let mut cache = LeaseCache::new();
     let (mut arrivals, mut lease_requests) = (0, 0);
     for now in (0..SECONDS * 1_000_000).step_by(TICK as usize) {
-        // A client asks every 100 ms, and for each tenant at the start.
+        // One client request every 100 ms, and one for each tenant at the start.
         let due = if now == 0 { TENANTS } else { usize::from(now % 100_000 == 0) };
         for _ in 0..due {
             let tenant = format!("t{}", arrivals % TENANTS);
@@ -228,13 +238,13 @@
             cache.granted(now, now, &request.tenant, LeaseGrant::NotOwner);
         }
     }
-    expect_that!(lease_requests, ge(TENANTS), "each tenant is asked for");
-    // While a client's request waits for 0.3 s, its lease may be requested some times.
-    expect_that!(lease_requests, le(5 * arrivals), "of {arrivals} clients' requests");
+    expect_that!(lease_requests, ge(TENANTS), "leases of each tenant are requested");
+    // While a client's request waits for up to 0.3 s, a lease may be requested several times.
+    expect_that!(lease_requests, le(5 * arrivals), "for {arrivals} client requests");
 }
 
 #[gtest]
-fn a_count_that_is_there_again_is_found_by_the_next_request() {
+fn a_recovered_allocator_is_found_by_the_next_request() {
     let mut cache = LeaseCache::new();
     cache.admit(0, "t", QUOTA, 1);
     let mut now = 0;
@@ -245,7 +255,7 @@
         }
         now += 25_000;
     }
-    // Its share is spent or was never granted, so the request is rejected; but it brings the lease for those after it.
+    // No share was granted, so this request is not admitted from it. It triggers the lease request for those that follow.
     cache.admit(now, "t", QUOTA, 2);
     let requests = cache.lease_requests(now);
     expect_that!(requests, len(eq(1)));
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,14 +1,14 @@
-//! Admission: quotas that hold over all nodes together, and the budget of retries.
+//! Distributed admission control: cluster-wide request quotas and retry budgets.
 //!
-//! Units of a tenant's quota are counted by one node, and leased to proxies for a limited time. A proxy spends a unit for each
-//! request that it admits.
+//! One node at a time allocates the units of a tenant's quota and leases them to proxies for a limited time. A proxy spends one
+//! unit for each request that it admits.
 //!
-//! - [`quota`]: what a quota allows, and how long a lease may be spent.
-//! - [`lease`]: what proxies and the counting node send each other.
-//! - [`lease_cache`]: the leases that one proxy holds, and its schedules of promised returns (DSRT).
-//! - [`quota_allocator`]: the count of one tenant's units.
-//! - [`duty`]: which node counts for which tenants, and how that duty changes hands.
-//! - [`retry_budget`]: how many requests may be sent to a second server.
+//! - [`quota`]: the quota of a tenant, and for how long leased units may be spent.
+//! - [`lease`]: the messages between proxies and the allocating node.
+//! - [`lease_cache`]: the leases of one proxy, and its schedules of promised client returns (DSRT).
+//! - [`quota_allocator`]: the token bucket from which one tenant's units are leased.
+//! - [`duty`]: which node allocates for which tenants, and how this ownership moves between nodes.
+//! - [`retry_budget`]: how many requests may be retried on another server.
 
 pub mod duty;
 pub mod lease;
--- a/crates/admission/src/quota_allocator.rs
+++ b/crates/admission/src/quota_allocator.rs
@@ -1,4 +1,4 @@
-//! The count of one tenant's units, at the node that has the duty for it.
+//! The allocator of one tenant's quota units, at the node that has the duty for the tenant.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Microseconds over which a proxy's demand is smoothed.
+/// The time over which a proxy's demand is smoothed, in microseconds.
 const DEMAND_WINDOW: f64 = 3.0e6;
-/// The part of the rate that all shares together may reach: what one proxy was told may be old at another.
-const MAX_SHARES: f64 = 0.95;
-/// The weight of a proxy that draws nothing, where one that draws a unit a second weighs 1.
+/// The limit of the sum of all shares, as a fraction of the rate. The margin is for proxies that still hold outdated shares.
+const MAX_TOTAL_SHARE: f64 = 0.95;
+/// The weight of a proxy without demand. A demand of one unit per second adds 1.
 const IDLE_WEIGHT: f64 = 0.05;
-/// A proxy that has drawn nothing for so long has no share any more: it does not begin to spend one that is older.
+/// A proxy that has requested nothing for this long loses its share, and does not begin to spend one that old.
 pub(crate) const IDLE_TIMEOUT: Micros = 20_000_000;
-/// No proxy spends a share for longer than this after the request that it was granted with.
+/// The maximum time for which a proxy spends a share, counted from the request that the share was granted for.
 pub const SHARE_LIFETIME: Micros = 60_000_000;
-/// Keeps divisions by a rate finite.
+/// Lower limit of a rate in divisions, which keeps the result finite.
 const MIN_RATE: f64 = 1e-3;
 
 fn seconds(duration: Micros) -> f64 {
     duration as f64 / 1e6
 }
 
-/// The most units of its share that a proxy keeps unspent: that part of the burst, and at least one.
+/// Returns the maximum of unspent units that a proxy accumulates from its share: that share of the burst, and at least one.
 pub(crate) fn max_share_balance(quota: Quota, share: f64) -> f64 {
     (quota.burst * share).max(1.0)
 }
@@ -37,17 +37,17 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Lessee {
     demand: Rate,
-    /// The share that it was granted last.
+    /// The share that the proxy was granted last.
     granted_share: f64,
-    /// The most that it may still hold besides, until it has reported that share.
+    /// The largest earlier share that the proxy may still hold, until it reports the granted one.
     earlier_share: f64,
-    /// It has not been heard since, and spends its share.
+    /// Whether the proxy is unreachable, and so is assumed to spend its share.
     is_missing: bool,
-    /// Units that it has spent of its share in all, as far as they were taken out here.
-    settled: f64,
-    /// Units that were taken out for it while it was missing, before it could report what it has spent.
+    /// The total of units that the proxy has spent of its share, as far as it is accounted for here.
+    accounted_spend: f64,
+    /// Units set aside for the proxy while it is missing, until it reports what it has spent.
     reserved: f64,
-    /// Units of its share that were left when it asked last.
+    /// The units of its share that the proxy had left at its last request.
     share_left: f64,
     last_request: Micros,
 }
@@ -57,83 +57,85 @@
         self.granted_share.max(self.earlier_share)
     }
 
-    /// The most that it may still spend of what it has had of its share so far. What was left when it asked has grown since.
+    /// The maximum of units that the proxy may have accumulated from its share and not spent. The remainder that it reported has
+    /// grown since.
     fn unspent(&self, now: Micros, quota: Quota) -> f64 {
         let balance = max_share_balance(quota, self.share());
         if self.is_missing {
             self.reserved.min(balance)
         } else if self.share_left > 0.0 {
-            let grown = self.share() * quota.rate * seconds(now.saturating_sub(self.last_request));
-            (self.share_left + grown).min(balance).max(self.share_left)
+            let accrued = self.share() * quota.rate * seconds(now.saturating_sub(self.last_request));
+            (self.share_left + accrued).min(balance).max(self.share_left)
         } else {
             0.0
         }
     }
 
-    /// Its weight among all proxies.
+    /// The proxy's weight in the distribution of shares.
     fn weight(&self, now: Micros) -> f64 {
         self.demand.get(now, DEMAND_WINDOW) + IDLE_WEIGHT
     }
 }
 
-/// No unit is left.
+/// No units are left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exhausted {
-    /// When one will be, from now.
+    /// The time until a unit is available.
     pub retry_after: Micros,
 }
 
 /// The answer to a proxy's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allocation {
-    /// The units that are leased.
+    /// The number of leased units.
     pub units: Result<f64, Exhausted>,
-    /// The share of the rate that the proxy may spend when it reaches no count.
+    /// The share of the quota's rate that the proxy may spend when it reaches no allocating node.
     pub share: f64,
 }
 
 /// The units of a tenant that can be leased: a token bucket that fills at the quota's rate up to its burst.
 ///
-/// At any time each part of the rate has one owner. A proxy that is cut off spends the share that it was granted; all shares
-/// together are less than one, those included that an earlier count has granted. While a proxy is missing, its share does not
-/// fill the bucket, and what it had since it was last heard is taken out: the bucket may be in debt.
+/// At any time each part of the rate has one owner. A proxy that is cut off spends the share that it was granted. The sum of all
+/// shares is less than one, including those that the previous allocator may have granted. While a proxy is missing, its share
+/// does not fill the bucket, and the units that it may have spent since it was last reachable are taken from the bucket, whose
+/// level may become negative.
 ///
-/// The same holds for the burst: what is in the bucket and what proxies may have left of their shares never exceed it. Units
-/// that were reserved for a proxy come back only as far as the proxy could have kept them itself.
+/// The same holds for the burst: the units in the bucket and the unspent units of the proxies' shares together never exceed it.
+/// Units that were reserved for a proxy are put back only as far as the proxy itself could have accumulated them.
 #[derive(Debug, Clone)]
 pub struct QuotaAllocator {
     quota: Quota,
-    /// Units in the bucket.
+    /// The number of units in the bucket; negative while it is in debt.
     level: f64,
-    /// When the bucket was last filled.
+    /// When the bucket was last refilled.
     filled_at: Micros,
     started_at: Micros,
-    /// The sum of the shares that an earlier count may have granted to proxies that have not asked here.
+    /// The sum of the shares that the previous allocator may have granted to proxies that have sent no request to this one.
     unknown_shares: f64,
-    /// Units that were reserved for these proxies.
+    /// Units reserved for these proxies.
     unknown_reserved: f64,
-    /// Whether proxies are cut off that this count has never heard of, as it was told last.
-    has_strangers: bool,
+    /// Whether, at the last request, there were cut-off proxies that this allocator does not know.
+    has_unknown_missing: bool,
     lessees: BTreeMap<String, Lessee>,
 }
 
 impl QuotaAllocator {
-    /// The count of a tenant whose duty has just been taken over. It begins without units: the earlier count may have granted
-    /// them.
+    /// Creates the allocator of a tenant whose duty has just been taken over. It begins without units, because the previous
+    /// allocator may have leased them.
     pub fn new(now: Micros, quota: Quota) -> QuotaAllocator {
         QuotaAllocator {
             quota,
             level: 0.0,
             filled_at: now,
             started_at: now,
-            unknown_shares: MAX_SHARES,
+            unknown_shares: MAX_TOTAL_SHARE,
             unknown_reserved: 0.0,
-            has_strangers: false,
+            has_unknown_missing: false,
             lessees: BTreeMap::new(),
         }
     }
 
-    /// The count of a tenant that did not exist before: nobody has granted any of its units.
+    /// Creates the allocator of a tenant that did not exist before, so that none of its units have been leased.
     pub fn full(now: Micros, quota: Quota) -> QuotaAllocator {
         let mut allocator = QuotaAllocator::new(now, quota);
         allocator.unknown_shares = 0.0;
@@ -141,13 +143,13 @@
         allocator
     }
 
-    /// The most that the bucket may hold: the burst without what proxies may have left, and at least one unit.
+    /// The maximum level of the bucket: the burst without the units that proxies may have left, and at least one.
     fn capacity(&self, now: Micros, reserved_share: f64) -> f64 {
         let unspent: f64 = self.lessees.values().map(|lessee| lessee.unspent(now, self.quota)).sum();
         (self.quota.burst * (1.0 - reserved_share) - unspent).max(1.0)
     }
 
-    /// The sum of the shares that proxies may hold that this count has never heard of.
+    /// The sum of the shares that proxies unknown to this allocator may hold.
     fn unknown_shares(&self, now: Micros) -> f64 {
         if now < self.started_at + SHARE_LIFETIME {
             self.unknown_shares
@@ -156,10 +158,10 @@
         }
     }
 
-    /// Fills the bucket up to now, without the shares of proxies that are cut off. Returns the share that is reserved for
-    /// proxies that this count has never heard of.
+    /// Refills the bucket up to now, without the shares of proxies that are cut off. Returns the share that is reserved for
+    /// proxies that this allocator does not know.
     fn fill(&mut self, now: Micros) -> f64 {
-        let reserved_share = if self.has_strangers { self.unknown_shares(now) } else { 0.0 };
+        let reserved_share = if self.has_unknown_missing { self.unknown_shares(now) } else { 0.0 };
         let elapsed = seconds(now.saturating_sub(self.filled_at));
         self.filled_at = self.filled_at.max(now);
         let full_rate = self.quota.rate;
@@ -174,28 +176,29 @@
         reserved_share
     }
 
-    /// Changes the quota. Units above a lower burst are gone.
+    /// Changes the quota. Units above a reduced burst are lost.
     pub fn set_quota(&mut self, now: Micros, quota: Quota) {
         self.fill(now);
         self.quota = quota;
         self.fill(now);
     }
 
-    /// A proxy has not been heard since a moment, and may spend its share since then. One that did so already when it asked last
-    /// has had its share since that request.
+    /// Marks a proxy as missing: it has been unreachable since `since`, and may have spent its share from then on, or already from
+    /// its last request on if it reported then that it was spending its share.
     pub fn proxy_missing(&mut self, now: Micros, proxy: &str, since: Micros) {
         self.fill(now);
         let rate = self.quota.rate;
         if let Some(lessee) = self.lessees.get_mut(proxy).filter(|lessee| !lessee.is_missing) {
             lessee.is_missing = true;
             let since = if lessee.share_left > 0.0 { since.min(lessee.last_request) } else { since };
-            let had = lessee.share_left + lessee.share() * rate * seconds(now.saturating_sub(since));
-            lessee.reserved += had;
-            self.level -= had;
+            let may_have_spent =
+                lessee.share_left + lessee.share() * rate * seconds(now.saturating_sub(since));
+            lessee.reserved += may_have_spent;
+            self.level -= may_have_spent;
         }
     }
 
-    /// A missing proxy is heard again. Its units stay reserved until it reports what it has spent.
+    /// Marks a missing proxy as reachable again. Its units stay reserved until it reports what it has spent.
     pub fn proxy_returned(&mut self, now: Micros, proxy: &str) {
         if self.lessees.get(proxy).is_some_and(|lessee| lessee.is_missing) {
             self.fill(now);
@@ -206,7 +209,7 @@
         }
     }
 
-    /// A proxy's process has ended, and its share with it.
+    /// Removes a proxy whose process has ended, together with its share.
     pub fn proxy_ended(&mut self, now: Micros, proxy: &str) {
         if self.lessees.contains_key(proxy) {
             self.fill(now);
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Takes out what a proxy has spent of its share. Units that were reserved while it was missing count towards that. Of the
-    /// rest it could have kept a part itself, which comes back; the remainder is lost, as it was to the proxy.
+    /// Takes the units that a proxy has spent of its share from the bucket. Units that were reserved while it was missing count
+    /// towards them. An unspent rest is put back up to what the proxy could have accumulated; more was lost to the proxy too.
     fn settle(&mut self, now: Micros, proxy: &str, usage: &Usage) {
         let held_share = usage.held_share.clamp(0.0, 1.0);
         if !self.lessees.contains_key(proxy) {
@@ -223,35 +226,36 @@
         }
         let quota = self.quota;
         let Some(lessee) = self.lessees.get_mut(proxy) else { return };
-        // A share that was granted later than the one it holds counts as well: it may have arrived by now, or may yet.
+        // A share that was granted after the reported one counts too: its grant may have arrived since, or may still arrive.
         let other_share = if held_share == lessee.granted_share { 0.0 } else { lessee.share() };
         lessee.earlier_share = held_share.max(other_share);
-        let spent = (usage.share_spent - lessee.settled).max(0.0);
-        lessee.settled = lessee.settled.max(usage.share_spent);
+        let spent = (usage.share_spent - lessee.accounted_spend).max(0.0);
+        lessee.accounted_spend = lessee.accounted_spend.max(usage.share_spent);
         let reserved = std::mem::take(&mut lessee.reserved);
         self.level += (reserved - spent).min(max_share_balance(quota, held_share));
         (lessee.share_left, lessee.last_request) = (usage.share_left.max(0.0), now);
     }
 
-    /// Adds a proxy that asks for the first time. What it spent before this count began came from a rate that nobody else had
-    /// then.
+    /// Adds a proxy at its first request. Units that it spent before this allocator started came from a part of the rate that
+    /// nobody else had, and are not taken from the bucket.
     fn add_lessee(&mut self, now: Micros, proxy: &str, held_share: f64, usage: &Usage) {
         let age = seconds(now.saturating_sub(self.started_at));
         let spent_here = usage.share_spent_lately.min(held_share * self.quota.rate * age);
         let reserved = spent_here.min(self.unknown_reserved);
         self.unknown_reserved -= reserved;
         self.unknown_shares = (self.unknown_shares - held_share).max(0.0);
-        let settled = usage.share_spent - spent_here;
-        let lessee = Lessee { settled, reserved, granted_share: held_share, ..Lessee::default() };
+        let accounted_spend = usage.share_spent - spent_here;
+        let lessee = Lessee { accounted_spend, reserved, granted_share: held_share, ..Lessee::default() };
         self.lessees.insert(proxy.into(), lessee);
     }
 
-    /// Leases up to as many whole units to a proxy as it wants, after it has returned some (the negative add). `has_strangers`:
-    /// proxies are cut off that may hold shares of an earlier count. A proxy that wants no unit is granted no new share.
-    pub fn draw(&mut self, now: Micros, proxy: &str, has_strangers: bool, usage: &Usage) -> Allocation {
-        self.has_strangers |= has_strangers;
+    /// Handles a proxy's request: puts returned units back, and leases it whole units, at most as many as it wants.
+    /// `has_unknown_missing` tells that proxies are cut off that may hold shares of the previous allocator. A proxy that wants less
+    /// than one unit is granted no new share.
+    pub fn draw(&mut self, now: Micros, proxy: &str, has_unknown_missing: bool, usage: &Usage) -> Allocation {
+        self.has_unknown_missing |= has_unknown_missing;
         let reserved_share = self.fill(now);
-        self.has_strangers = has_strangers;
+        self.has_unknown_missing = has_unknown_missing;
         self.settle(now, proxy, usage);
         let wanted = usage.wanted;
         self.level = (self.level + usage.returned.max(0.0)).min(self.capacity(now, reserved_share));
@@ -266,9 +270,9 @@
         Allocation { units: Err(Exhausted { retry_after }), share }
     }
 
-    /// The share of a proxy: shares follow demand. A proxy that is not heard keeps the share that it was granted, here or by an
-    /// earlier count, so another's share grows only into what is free.
-    fn grant_share(&mut self, now: Micros, proxy: &str, granted: f64, is_new: bool) -> f64 {
+    /// Returns a proxy's share, which is updated to its part of the demand if `is_renewed`. A missing proxy keeps the share that it
+    /// was granted, here or by the previous allocator, so other shares grow only into what is unassigned.
+    fn grant_share(&mut self, now: Micros, proxy: &str, granted: f64, is_renewed: bool) -> f64 {
         self.lessees.retain(|_, lessee| lessee.is_missing || now < lessee.demand.at + IDLE_TIMEOUT);
         if let Some(lessee) = self.lessees.get_mut(proxy) {
             lessee.demand.add(now, granted, DEMAND_WINDOW);
@@ -279,34 +283,34 @@
             other_shares += if name == proxy { 0.0 } else { lessee.share() };
         }
         let Some(lessee) = self.lessees.get_mut(proxy) else { return 0.0 };
-        if is_new {
-            let fair_share = lessee.weight(now) / total_weight * MAX_SHARES;
-            lessee.granted_share = fair_share.min((MAX_SHARES - other_shares).max(0.0));
+        if is_renewed {
+            let fair_share = lessee.weight(now) / total_weight * MAX_TOTAL_SHARE;
+            lessee.granted_share = fair_share.min((MAX_TOTAL_SHARE - other_shares).max(0.0));
         }
         lessee.granted_share
     }
 
-    /// Whether a proxy has been granted a share here.
+    /// Whether the allocator has an entry for a proxy.
     pub fn knows(&self, proxy: &str) -> bool {
         self.lessees.contains_key(proxy)
     }
 
-    /// The number of proxies that it knows, as long as it reserves a share for others; `None` if it does not.
+    /// The number of known proxies while a share is reserved for unknown ones; `None` if nothing is reserved.
     pub fn known_while_reserving(&self, now: Micros) -> Option<usize> {
         (self.unknown_shares(now) > 0.0).then_some(self.lessees.len())
     }
 
-    /// It knows all proxies that there are: nothing is reserved for others any more.
+    /// Drops the reservation for unknown proxies, because all proxies are known.
     pub fn knows_all(&mut self) {
         self.unknown_shares = 0.0;
     }
 
-    /// The quota.
+    /// The quota in force.
     pub fn quota(&self) -> Quota {
         self.quota
     }
 
-    /// Units that can be leased; negative if proxies that are cut off have had more than there was.
+    /// The number of units that can be leased; negative if proxies that are cut off may have spent more than was available.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/admission/src/quota_allocator/tests.rs
+++ b/crates/admission/src/quota_allocator/tests.rs
@@ -1,4 +1,4 @@
-//! What a count grants.
+//! Units and shares that an allocator grants.
 
 use googletest::prelude::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn no_more_than_rate_and_burst_is_granted_in_any_time() {
+fn grants_in_any_period_stay_within_rate_and_burst() {
     let quota = Quota { rate: 50.0, burst: 30.0 };
     let mut allocator = QuotaAllocator::new(0, quota);
     let mut granted: Vec<(Micros, f64)> = Vec::new();
@@ -17,8 +17,8 @@
     let mut now = 0;
     for _ in 0..5_000 {
         now += (mountbend::measure::lot(&mut random) * 20_000.0) as Micros;
-        let want = (mountbend::measure::lot(&mut random) * 8.0).floor();
-        if let Ok(units) = allocator.draw(now, "n", false, &usage(want, 0.0)).units {
+        let count = (mountbend::measure::lot(&mut random) * 8.0).floor();
+        if let Ok(units) = allocator.draw(now, "n", false, &usage(count, 0.0)).units {
             granted.push((now, units));
         }
     }
@@ -26,43 +26,43 @@
         let mut sum = 0.0;
         for &(at, units) in &granted[n..] {
             sum += units;
-            let most = quota.burst + quota.rate * (at - from) as f64 / 1e6;
-            assert_that!(sum, le(most + 1.0));
+            let limit = quota.burst + quota.rate * (at - from) as f64 / 1e6;
+            assert_that!(sum, le(limit + 1.0));
         }
     }
     expect_that!(granted.iter().map(|g| g.1).sum::<f64>(), gt(0.9 * 50.0 * now as f64 / 1e6));
 }
 
 #[gtest]
-fn a_new_one_has_nothing_and_tells_when_it_will() {
+fn a_new_allocator_starts_empty_and_reports_when_a_unit_is_available() {
     let mut allocator = QuotaAllocator::new(0, Quota { rate: 10.0, burst: 5.0 });
-    let mut draw = |now, want, back| allocator.draw(now, "n", false, &usage(want, back)).units;
+    let mut draw = |now, count, unspent| allocator.draw(now, "n", false, &usage(count, unspent)).units;
     expect_that!(draw(0, 2.0, 0.0), err(eq(Exhausted { retry_after: 100_000 })));
     expect_that!(draw(100_000, 2.0, 0.0), ok(eq(1.0)));
-    expect_that!(draw(100_000, 2.0, 1.0), ok(eq(1.0)), "what came back is there again");
-    expect_that!(draw(10_000_000, 9.0, 0.0), ok(eq(5.0)), "no more than the burst");
+    expect_that!(draw(100_000, 2.0, 1.0), ok(eq(1.0)), "a returned unit can be leased again");
+    expect_that!(draw(10_000_000, 9.0, 0.0), ok(eq(5.0)), "the level is limited to the burst");
     expect_that!(QuotaAllocator::full(0, Quota { rate: 10.0, burst: 5.0 }).level(), eq(5.0));
     allocator.set_quota(11_200_000, Quota { rate: 10.0, burst: 2.0 });
     expect_that!(allocator.draw(11_200_000, "n", false, &usage(9.0, 0.0)).units, ok(eq(2.0)));
 }
 
 #[gtest]
-fn shares_follow_what_is_drawn_and_never_sum_up_to_more_than_the_rate() {
+fn shares_follow_demand_and_never_exceed_the_rate_in_sum() {
     let mut allocator = QuotaAllocator::new(0, Quota { rate: 100.0, burst: 100.0 });
     allocator.knows_all();
     let mut random = 4;
-    let mut holds = [0.0; 10];
+    let mut held_shares = [0.0; 10];
     for step in 1..2_000_u64 {
         let node = (mountbend::measure::lot(&mut random) * 10.0) as usize;
-        // Whose clients are many changes on the way.
+        // The proxy with the highest demand changes halfway through.
         let busy = if step < 1_000 { 2 } else { 7 };
-        let want = if node == busy { 8.0 } else { 1.0 };
-        let reported = Usage { held_share: holds[node], ..usage(want, 0.0) };
+        let count = if node == busy { 8.0 } else { 1.0 };
+        let reported = Usage { held_share: held_shares[node], ..usage(count, 0.0) };
         let share = allocator.draw(step * 20_000, &format!("n{node}"), false, &reported).share;
-        holds[node] = share;
-        let held: f64 = allocator.lessees.values().map(Lessee::share).sum();
-        // What was told before counts until the next word: it may stand beside what has been given on since.
-        expect_that!(held, le(1.0 + 1e-9), "at step {step}");
+        held_shares[node] = share;
+        let total: f64 = allocator.lessees.values().map(Lessee::share).sum();
+        // A proxy's earlier share counts until its next request, beside the shares that were granted to others since.
+        expect_that!(total, le(1.0 + 1e-9), "at step {step}");
         if step == 990 || step == 1_990 {
             let busiest =
                 allocator.lessees.iter().max_by(|a, b| a.1.granted_share.total_cmp(&b.1.granted_share));
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn while_one_is_missing_its_share_is_not_granted_to_others() {
+fn the_share_of_a_missing_proxy_is_not_granted_to_others() {
     let mut allocator = QuotaAllocator::new(0, Quota { rate: 100.0, burst: 10.0 });
     allocator.knows_all();
     let mut now = 0;
@@ -84,27 +84,28 @@
         allocator.draw(now, "b", false, &Usage { held_share: 0.475, ..usage(1.0, 0.0) });
     }
     expect_that!(share, near(0.475, 0.02));
-    // It was last heard half a second ago: by now it may have spent half of its share of a second.
+    // `a` was last reachable half a second ago, and may have spent half a second's worth of its share.
     allocator.proxy_missing(now, "a", now - 500_000);
     expect_that!(allocator.level(), lt(10.0 - 0.4 * 50.0));
     let mut granted = 0.0;
     for _ in 0..500 {
         now += 20_000;
-        let b = Usage { held_share: 0.475, ..usage(9.0, 0.0) };
-        granted += allocator.draw(now, "b", false, &b).units.unwrap_or(0.0);
+        let reported = Usage { held_share: 0.475, ..usage(9.0, 0.0) };
+        granted += allocator.draw(now, "b", false, &reported).units.unwrap_or(0.0);
     }
     expect_that!(granted, all!(gt(450.0), lt(540.0)));
     allocator.proxy_returned(now, "a");
-    // It has spent 300 of the 500 that were kept back for it: the others are there again, up to the burst.
-    let a = Usage { held_share: share, share_spent: 300.0, share_spent_lately: 300.0, ..usage(9.0, 0.0) };
-    expect_that!(allocator.draw(now + 100_000, "a", false, &a).units, ok(ge(8.0)));
+    // `a` has spent 300 of the 500 reserved units: the others are put back, up to the burst.
+    let reported =
+        Usage { held_share: share, share_spent: 300.0, share_spent_lately: 300.0, ..usage(9.0, 0.0) };
+    expect_that!(allocator.draw(now + 100_000, "a", false, &reported).units, ok(ge(8.0)));
 }
 
 #[gtest]
-fn what_a_deaf_one_spends_of_its_share_is_taken_out_with_each_ask() {
+fn spending_from_a_share_is_taken_out_with_each_request_though_answers_are_lost() {
     let mut allocator = QuotaAllocator::full(0, Quota { rate: 10.0, burst: 50.0 });
     allocator.draw(0, "a", false, &usage(0.0, 0.0));
-    // Its asks come, the answers are lost: by its third it has spent 20 of its share.
+    // Requests arrive, but their answers are lost: by the third, the proxy has spent 20 units of its share.
     for spent in [0.0, 8.0, 20.0] {
         allocator.draw(
             0,
@@ -114,7 +115,7 @@
         );
     }
     expect_that!(allocator.level(), eq(30.0));
-    // A count that has been taken over takes out what was spent since it began, and nothing older.
+    // After a takeover, the new allocator takes out only units that were spent since it started.
     let mut next = QuotaAllocator::new(0, Quota { rate: 10.0, burst: 50.0 });
     let reported = Usage { share_spent: 90.0, share_spent_lately: 40.0, held_share: 0.5, ..usage(0.0, 0.0) };
     next.draw(1_000_000, "a", false, &reported);
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget: how many requests may be sent to a second server, bounded over all nodes together without asking any
-//! (see "Handling Overload" in the SRE book for retry budgets).
+//! Retry budgets: a bound on the retries on another server that holds over all nodes together and needs no coordination (see
+//! "Handling Overload" in the SRE book).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 pub struct RetryBounds {
     /// The sliding window in which retries are counted.
     pub window: Duration,
-    /// Retries as a share of the requests.
+    /// The number of retries allowed per request.
     pub ratio: f64,
-    /// The number of retries on top, over all nodes together.
+    /// The number of retries allowed in addition, over all nodes together.
     pub extra: f64,
 }
 
@@ -26,39 +26,40 @@
     }
 }
 
-/// The window is counted in so many buckets.
+/// The number of buckets that the window is divided into.
 const BUCKETS: u64 = 10;
-/// The part of the bound that nodes use: the rest is for retries of processes that have ended since.
-const USABLE: f64 = 0.7;
-/// Where fewer retries are allowed, one of them is a large part, and the used part tells nothing.
-const MIN_TELLING: f64 = 10.0;
+/// The fraction of the bound that nodes use. The rest covers retries of processes that have ended since, and the bucket by which
+/// a sliding window can reach further back than the counted ones.
+const USABLE_FRACTION: f64 = 0.7;
+/// With fewer allowed retries than this, a single one is a large part of the budget, and the used ratio is not meaningful.
+const MIN_MEANINGFUL_BUDGET: f64 = 10.0;
 
-/// What was counted in one bucket of the window.
+/// The requests and retries in one bucket of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// The number of the bucket's time span.
+    /// The index of the time span that the bucket covers.
     span: u64,
     requests: f64,
     retries: f64,
 }
 
-/// Retries that were granted and denied.
+/// The numbers of granted and denied retries.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RetryCounts {
-    /// Granted.
+    /// Retries that were granted.
     pub granted: u64,
-    /// Requested when the budget was exhausted.
+    /// Retries that were denied because the budget was exhausted.
     pub denied: u64,
 }
 
-/// The retries of one window, and how many are allowed.
+/// The retries of one window, and the number of allowed ones.
 struct Balance {
     retries: f64,
     allowed: f64,
 }
 
-/// The requests and retries of one node, by service. Each node allows itself a share of its own requests and an even part of
-/// the extra number, so the sum over all nodes is within the bounds.
+/// The retry budget of one node, with a separate window for each service. Each node allows itself a fraction of its own requests
+/// and an equal part of the extra retries, so the sum over all nodes is within the bounds.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     bounds: RetryBounds,
@@ -67,7 +68,7 @@
 }
 
 impl RetryBudget {
-    /// A budget within these bounds.
+    /// Creates an unused budget with the given bounds.
     pub fn new(bounds: RetryBounds) -> RetryBudget {
         RetryBudget { bounds, ..RetryBudget::default() }
     }
@@ -94,7 +95,7 @@
         self.bucket(now, service).requests += 1.0;
     }
 
-    /// Takes one retry if the budget allows it; `nodes` is the number of nodes that share the bounds.
+    /// Takes one retry from the budget and returns whether it was granted. `nodes` is the number of nodes that share the bounds.
     #[must_use = "a retry that is not granted must not be sent"]
     pub fn try_take(&mut self, now: Micros, service: &str, nodes: usize) -> bool {
         let is_granted = self.has_retry(now, service, nodes);
@@ -114,28 +115,28 @@
         retries + 1.0 <= allowed
     }
 
-    /// Retries that were granted and denied so far.
+    /// The numbers of retries granted and denied so far, over all services.
     pub fn counts(&self) -> RetryCounts {
         self.counts
     }
 
-    /// The used part of the budget, of the service where it is largest. Services whose budget is too small for this to tell
-    /// anything are left out.
+    /// The used fraction of the budget, of the service where it is largest. Services whose budget is too small for a meaningful
+    /// ratio are left out.
     pub fn used_ratio(&self, now: Micros, nodes: usize) -> f64 {
         let span = self.span(now);
         let balances = self.services.values().map(|buckets| balance(buckets, span, self.bounds, nodes));
-        let telling = balances.filter(|balance| balance.allowed >= MIN_TELLING);
-        telling.map(|balance| balance.retries / balance.allowed).fold(0.0, f64::max)
+        let meaningful = balances.filter(|balance| balance.allowed >= MIN_MEANINGFUL_BUDGET);
+        meaningful.map(|balance| balance.retries / balance.allowed).fold(0.0, f64::max)
     }
 }
 
-/// The balance of the window that ends with a span. A sliding window may reach one span further back than is counted here;
-/// [`USABLE`] leaves room for that.
+/// Returns the balance of the window that ends with a span. A sliding window may reach one span further back than is counted here;
+/// [`USABLE_FRACTION`] leaves a margin for that.
 fn balance(buckets: &[Bucket], span: u64, bounds: RetryBounds, nodes: usize) -> Balance {
     let in_window = buckets.iter().filter(|bucket| bucket.span + BUCKETS > span);
     let (requests, retries) = in_window.fold((0.0, 0.0), |(requests, retries), bucket| {
         (requests + bucket.requests, retries + bucket.retries)
     });
-    let allowed = USABLE * (bounds.ratio * requests + bounds.extra / nodes.max(1) as f64);
+    let allowed = USABLE_FRACTION * (bounds.ratio * requests + bounds.extra / nodes.max(1) as f64);
     Balance { retries, allowed }
 }
--- a/crates/admission/tests/duty.rs
+++ b/crates/admission/tests/duty.rs
@@ -1,4 +1,4 @@
-//! Duties under cuts, freezes, restarts and changes of who votes: two never act for one slice.
+//! Duties under partitions, freezes, restarts and changes of the voters: no two nodes ever act for one slice at once.
 
 use std::collections::BTreeSet;
 
@@ -7,250 +7,288 @@
 use pinerelay_admission::duty::{DutyAction, DutyMessage, DutyTable, Voters, JOINT_PERIOD, SLICE_COUNT};
 use pinerelay_admission::Micros;
 
-/// A lease of an epoch, and how long ago a quorum may have been heard by the store that tells of it.
-const CURRENT: Micros = 2_500_000;
+/// The duration of an epoch's lease. It is also the maximum age of a store's last contact to a quorum for which the store still
+/// confirms its epoch.
+const EPOCH_LEASE: Micros = 2_500_000;
 
-/// What is left out on purpose.
+/// A safeguard that is disabled, to show that it is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Left {
+enum Disabled {
     Nothing,
-    /// A lease of an epoch has no end.
-    Lease,
-    /// A majority of the new voters is enough from the first moment on.
-    Joint,
+    /// The lease of an epoch never expires.
+    EpochLease,
+    /// A majority of the new voters suffices from the start of an epoch.
+    JointMajority,
 }
 
+/// A node in the simulation.
 #[derive(Default)]
-struct Place {
+struct SimulatedNode {
+    /// `None` while the node is down.
     duties: Option<DutyTable>,
-    /// A frozen process: what came for it waits, and its clock goes on.
+    /// Until this time the process is frozen: messages to it wait, and its clock goes on.
     frozen_until: Micros,
+    /// Messages in transit: arrival time, sender and message.
     inbox: Vec<(Micros, String, DutyMessage)>,
-    life: u64,
-    /// The epoch that its store knows, when a quorum last said that none is newer, and until when it hears of none.
-    knows: usize,
-    contact: Micros,
-    deaf_until: Micros,
-    /// The store's words under way: when they come, the epoch, and when they were asked for.
-    told: Vec<(Micros, usize, Micros)>,
-    ask_at: Micros,
-    /// That others have known an epoch for long.
-    settled: Vec<(Micros, u64)>,
+    /// The number of the node's process; increases with each restart.
+    incarnation: u64,
+    /// The index of the newest epoch that the node's store knows.
+    stored_epoch: usize,
+    /// When a quorum last confirmed to the store that no epoch is newer.
+    quorum_contact_at: Micros,
+    /// Until this time the store reaches no quorum.
+    store_isolated_until: Micros,
+    /// Answers of the store in transit: arrival time, epoch index, and when they were requested (`Micros::MAX` if the store is too
+    /// long without contact to a quorum to confirm the epoch).
+    store_answers: Vec<(Micros, usize, Micros)>,
+    next_store_query: Micros,
+    /// Notices of other nodes that they have known an epoch for the joint period: arrival time and epoch.
+    settled_notices: Vec<(Micros, u64)>,
 }
 
-fn first(names: &[String]) -> Voters {
+fn first_voters(names: &[String]) -> Voters {
     Voters { epoch: 1, members: names[..3].to_vec(), previous: Vec::new() }
 }
 
-/// One voter gives way to another, often one that is in trouble.
-fn next(now: &Voters, all: &[String], dice: &mut impl FnMut(u64) -> u64, trouble: u64) -> Voters {
-    let leaves = now.members.iter().position(|name| *name == all[trouble as usize]);
-    let leaves = leaves.filter(|_| dice(3) > 0).unwrap_or(dice(now.members.len() as u64) as usize);
-    let others: Vec<&String> = all.iter().filter(|name| !now.members.contains(name)).collect();
-    let mut members = now.members.clone();
-    members[leaves] = others[dice(others.len() as u64) as usize].clone();
-    Voters { epoch: now.epoch + 1, members, previous: now.members.clone() }
+/// Replaces one voter by another node, often a voter that is affected by a fault.
+fn next_voters(
+    current: &Voters,
+    all: &[String],
+    random_below: &mut impl FnMut(u64) -> u64,
+    faulty: u64,
+) -> Voters {
+    let replaced = current.members.iter().position(|name| *name == all[faulty as usize]);
+    let replaced = replaced
+        .filter(|_| random_below(3) > 0)
+        .unwrap_or(random_below(current.members.len() as u64) as usize);
+    let candidates: Vec<&String> = all.iter().filter(|name| !current.members.contains(name)).collect();
+    let mut members = current.members.clone();
+    members[replaced] = candidates[random_below(candidates.len() as u64) as usize].clone();
+    Voters { epoch: current.epoch + 1, members, previous: current.members.clone() }
 }
 
-/// So many nodes, three of which vote, see each other or not, die, freeze and come back. With more than three, who votes
-/// changes. Tells for how many slices somebody acted, of how many, over all moments; or which slice had two.
+/// Simulates `nodes` nodes, three of which are voters, under partitions, crashes, freezes and restarts. With more than three nodes
+/// the voters change. Returns for how many samples of a slice and a time a node acted, and the number of samples; or an error that
+/// names a slice for which two nodes acted.
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one play with its checks")]
-fn play(seed: u64, nodes: usize, left: Left) -> std::result::Result<(u64, u64), String> {
+fn simulate(seed: u64, nodes: usize, disabled: Disabled) -> std::result::Result<(u64, u64), String> {
     let names: Vec<String> = (0..nodes).map(|n| format!("n{n}")).collect();
-    let lots = nodes as u64;
+    let node_count = nodes as u64;
     let mut random = seed;
-    let mut dice = |most: u64| (lot(&mut random) * most as f64) as u64;
-    let mut epochs = vec![first(&names)];
-    let mut agreed = 0;
-    let mut places: Vec<Place> = names
+    let mut random_below = |end: u64| (lot(&mut random) * end as f64) as u64;
+    let mut epochs = vec![first_voters(&names)];
+    let mut last_change = 0;
+    let mut sim_nodes: Vec<SimulatedNode> = names
         .iter()
-        .map(|name| Place { duties: Some(DutyTable::new(0, name, true)), life: 1, ..Place::default() })
+        .map(|name| SimulatedNode {
+            duties: Some(DutyTable::new(0, name, true)),
+            incarnation: 1,
+            ..SimulatedNode::default()
+        })
         .collect();
-    let (mut cut, mut cut_until, mut dead, mut dead_until) = (0, 0, 0, 0);
-    // Whose life each has heard of, and the words that it has.
-    let mut met = vec![vec![1_u64; nodes]; nodes];
-    let mut hellos: Vec<(Micros, usize, u64, usize)> = Vec::new();
-    let (mut acting, mut moments) = (0, 0);
+    let (mut isolated, mut isolated_until, mut crashed, mut crashed_until) = (0, 0, 0, 0);
+    // The incarnations that each node knows of the others, and the notices in transit that a restart is known: arrival time,
+    // recipient, incarnation and sender.
+    let mut known_incarnations = vec![vec![1_u64; nodes]; nodes];
+    let mut restart_notices: Vec<(Micros, usize, u64, usize)> = Vec::new();
+    let (mut acting, mut samples) = (0, 0);
     for step in 0..4_000_u64 {
         let now = step * 10_000;
-        if now >= cut_until + 1_000_000 && dice(100) == 0 {
-            let span = if nodes > 3 && dice(2) == 0 { 15_000_000 } else { 3_000_000 };
-            (cut, cut_until) = (dice(lots), now + dice(span));
+        if now >= isolated_until + 1_000_000 && random_below(100) == 0 {
+            let span = if nodes > 3 && random_below(2) == 0 { 15_000_000 } else { 3_000_000 };
+            (isolated, isolated_until) = (random_below(node_count), now + random_below(span));
         }
-        if now >= dead_until + 1_000_000 && dice(150) == 0 {
-            (dead, dead_until) = (dice(lots), now + dice(3_000_000));
-            places[dead as usize].duties = None;
+        if now >= crashed_until + 1_000_000 && random_below(150) == 0 {
+            (crashed, crashed_until) = (random_below(node_count), now + random_below(3_000_000));
+            sim_nodes[crashed as usize].duties = None;
         }
-        if dice(1_000) == 0 {
-            places[dice(lots) as usize].frozen_until = now + dice(2_000_000);
+        if random_below(1_000) == 0 {
+            sim_nodes[random_below(node_count) as usize].frozen_until = now + random_below(2_000_000);
         }
-        if nodes > 3 && dice(400) == 0 {
-            places[dice(lots) as usize].deaf_until = now + dice(10_000_000);
+        if nodes > 3 && random_below(400) == 0 {
+            sim_nodes[random_below(node_count) as usize].store_isolated_until =
+                now + random_below(10_000_000);
         }
-        let apart = |a: usize, b: usize| now < cut_until && (a as u64 == cut) != (b as u64 == cut);
-        let runs: Vec<bool> = places.iter().map(|p| p.duties.is_some() && now >= p.frozen_until).collect();
-        // A store hears a quorum: it then knows the newest epoch.
+        let is_partitioned =
+            |a: usize, b: usize| now < isolated_until && (a as u64 == isolated) != (b as u64 == isolated);
+        let is_running: Vec<bool> =
+            sim_nodes.iter().map(|node| node.duties.is_some() && now >= node.frozen_until).collect();
+        // A store that reaches a quorum learns the newest epoch.
         let newest = epochs.len() - 1;
-        let quorum = |n: usize| {
-            let members = epochs[newest].members.iter().filter_map(|m| names.iter().position(|o| o == m));
-            runs[n] && members.filter(|&m| runs[m] && !apart(n, m)).count() >= 2
+        let reaches_quorum = |n: usize| {
+            let members = epochs[newest]
+                .members
+                .iter()
+                .filter_map(|member| names.iter().position(|voter| voter == member));
+            is_running[n] && members.filter(|&m| is_running[m] && !is_partitioned(n, m)).count() >= 2
         };
-        for (n, place) in places.iter_mut().enumerate() {
-            if now >= place.deaf_until && quorum(n) && dice(20) == 0 {
-                (place.knows, place.contact) = (newest, now);
+        for (n, node) in sim_nodes.iter_mut().enumerate() {
+            if now >= node.store_isolated_until && reaches_quorum(n) && random_below(20) == 0 {
+                (node.stored_epoch, node.quorum_contact_at) = (newest, now);
             }
         }
-        if nodes > 3 && now >= agreed + JOINT_PERIOD && (0..nodes).any(quorum) && dice(200) == 0 {
-            agreed = now;
-            let trouble = if now < cut_until { cut } else { dead };
-            epochs.push(next(&epochs[newest], &names, &mut dice, trouble));
+        if nodes > 3
+            && now >= last_change + JOINT_PERIOD
+            && (0..nodes).any(reaches_quorum)
+            && random_below(200) == 0
+        {
+            last_change = now;
+            let faulty = if now < isolated_until { isolated } else { crashed };
+            epochs.push(next_voters(&epochs[newest], &names, &mut random_below, faulty));
         }
         for n in 0..nodes {
             let name = &names[n];
-            let linked = |m: &usize| *m != n && !apart(n, *m) && places[*m].duties.is_some();
-            let alive: Vec<usize> = (0..nodes).filter(linked).collect();
-            let others: Vec<u64> = places.iter().map(|place| place.life).collect();
-            let place = &mut places[n];
-            if place.duties.is_none() && now >= dead_until {
-                place.duties = Some(DutyTable::new(now, name, false));
-                place.life += 1;
-                // Its store may know less than the process before had heard of.
-                place.knows = dice(place.knows as u64 + 1) as usize;
-                place.contact = place.contact.min(now.saturating_sub(CURRENT));
-                place.told.clear();
-                place.ask_at = now;
-                place.told.push((now, place.knows, Micros::MAX));
-                met[n] = vec![0; nodes];
+            let is_linked = |m: &usize| *m != n && !is_partitioned(n, *m) && sim_nodes[*m].duties.is_some();
+            let alive: Vec<usize> = (0..nodes).filter(is_linked).collect();
+            let incarnations: Vec<u64> = sim_nodes.iter().map(|node| node.incarnation).collect();
+            let node = &mut sim_nodes[n];
+            if node.duties.is_none() && now >= crashed_until {
+                node.duties = Some(DutyTable::new(now, name, false));
+                node.incarnation += 1;
+                // The store of a restarted process may know an older epoch than the process before.
+                node.stored_epoch = random_below(node.stored_epoch as u64 + 1) as usize;
+                node.quorum_contact_at = node.quorum_contact_at.min(now.saturating_sub(EPOCH_LEASE));
+                node.store_answers.clear();
+                node.next_store_query = now;
+                node.store_answers.push((now, node.stored_epoch, Micros::MAX));
+                known_incarnations[n] = vec![0; nodes];
             }
-            if now < place.frozen_until {
+            if now < node.frozen_until {
                 continue;
             }
-            let Some(duties) = place.duties.as_mut() else {
-                place.inbox.clear();
+            let Some(duties) = node.duties.as_mut() else {
+                node.inbox.clear();
                 continue;
             };
-            let mut out = Vec::new();
-            // Who is linked hears of a new life, says so, and is then met by it.
+            let mut actions = Vec::new();
+            // Linked nodes learn of a restart, and notify the new process of that.
             for &other in &alive {
-                if met[n][other] != others[other] {
-                    met[n][other] = others[other];
+                if known_incarnations[n][other] != incarnations[other] {
+                    known_incarnations[n][other] = incarnations[other];
                     duties.peer_restarted(now, &names[other]);
-                    hellos.push((now + dice(40_000), other, others[other], n));
+                    restart_notices.push((now + random_below(40_000), other, incarnations[other], n));
                 }
             }
-            hellos.retain(|&(at, to, life, from)| {
-                let due = to == n && at <= now;
-                if due && life == place.life {
+            restart_notices.retain(|&(at, to, incarnation, from)| {
+                let is_due = to == n && at <= now;
+                if is_due && incarnation == node.incarnation {
                     duties.peer_introduced(&names[from]);
                 }
-                !due
+                !is_due
             });
-            if now >= place.ask_at {
-                place.ask_at = now + 600_000;
-                let at = now + dice(60_000);
-                let current = place.contact > 0 && now < place.contact + CURRENT;
-                place.told.push((at, place.knows, if current { now } else { Micros::MAX }));
+            if now >= node.next_store_query {
+                node.next_store_query = now + 600_000;
+                let at = now + random_below(60_000);
+                let is_current = node.quorum_contact_at > 0 && now < node.quorum_contact_at + EPOCH_LEASE;
+                node.store_answers.push((at, node.stored_epoch, if is_current { now } else { Micros::MAX }));
             }
-            let (due, later) = std::mem::take(&mut place.told).into_iter().partition(|(at, ..)| *at <= now);
-            place.told = later;
+            let (due, later) =
+                std::mem::take(&mut node.store_answers).into_iter().partition(|(at, ..)| *at <= now);
+            node.store_answers = later;
             let due: Vec<(Micros, usize, Micros)> = due;
-            for (_, epoch, asked) in due {
+            for (_, epoch, requested_at) in due {
                 duties.set_voters(now, epochs[epoch].clone());
                 let epoch = epochs[epoch].epoch;
-                if left == Left::Joint {
+                if disabled == Disabled::JointMajority {
                     duties.epoch_settled(epoch);
                 }
-                if asked < Micros::MAX {
+                if requested_at < Micros::MAX {
                     duties.epoch_confirmed(
                         epoch,
-                        if left == Left::Lease { Micros::MAX } else { asked + CURRENT },
+                        if disabled == Disabled::EpochLease {
+                            Micros::MAX
+                        } else {
+                            requested_at + EPOCH_LEASE
+                        },
                     );
                 }
             }
-            place.settled.retain(|(at, epoch)| {
+            node.settled_notices.retain(|(at, epoch)| {
                 if *at <= now {
                     duties.epoch_settled(*epoch);
                 }
                 *at > now
             });
             let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut place.inbox).into_iter().partition(|(at, ..)| *at <= now);
-            place.inbox = later;
-            due.into_iter().for_each(|(_, from, word)| duties.receive(now, &from, word, &mut out));
-            duties.tick(now, alive.iter().map(|&m| names[m].clone()).collect(), &mut out);
-            let (epoch, settled) = (duties.epoch(), !duties.is_joint(now));
-            for &other in alive.iter().filter(|_| settled && step % 30 == 0) {
-                places[other].settled.push((now + dice(40_000), epoch));
+                std::mem::take(&mut node.inbox).into_iter().partition(|(at, ..)| *at <= now);
+            node.inbox = later;
+            due.into_iter().for_each(|(_, from, message)| duties.receive(now, &from, message, &mut actions));
+            duties.tick(now, alive.iter().map(|&m| names[m].clone()).collect(), &mut actions);
+            let (epoch, is_settled) = (duties.epoch(), !duties.is_joint(now));
+            for &other in alive.iter().filter(|_| is_settled && step % 30 == 0) {
+                sim_nodes[other].settled_notices.push((now + random_below(40_000), epoch));
             }
-            for step in out {
-                let DutyAction::Send(to, word) = step else { continue };
-                let m = names.iter().position(|other| *other == to).expect("a name");
-                if !apart(n, m) && dice(30) > 0 {
-                    let at = now + dice(40_000);
-                    places[m].inbox.push((at, name.clone(), word));
+            for action in actions {
+                let DutyAction::Send(to, message) = action else { continue };
+                let m = names.iter().position(|other| *other == to).expect("the recipient is a node");
+                if !is_partitioned(n, m) && random_below(30) > 0 {
+                    let at = now + random_below(40_000);
+                    sim_nodes[m].inbox.push((at, name.clone(), message));
                 }
             }
         }
         for slice in 0..SLICE_COUNT {
-            let holds = |p: &&Place| p.duties.as_ref().is_some_and(|f| f.holds(now, slice));
-            let holders = places.iter().filter(holds).count();
+            let holds =
+                |node: &&SimulatedNode| node.duties.as_ref().is_some_and(|table| table.holds(now, slice));
+            let holders = sim_nodes.iter().filter(holds).count();
             if holders > 1 {
                 return Err(format!("seed {seed}: {holders} act for slice {slice} at {now}"));
             }
             acting += holders as u64;
-            moments += 1;
+            samples += 1;
         }
     }
-    Ok((acting, moments))
+    Ok((acting, samples))
 }
 
-/// The part of all moments and slices in which somebody acted, over these seeds.
-fn acted(seeds: std::ops::Range<u64>, nodes: usize) -> f64 {
-    let played = seeds.map(|seed| play(seed, nodes, Left::Nothing).unwrap_or_else(|two| panic!("{two}")));
-    let (acting, moments) = played.fold((0, 0), |(a, m), p| (a + p.0, m + p.1));
-    acting as f64 / moments as f64
+/// The fraction of samples in which a node acted for the slice, over these seeds.
+fn acting_ratio(seeds: std::ops::Range<u64>, nodes: usize) -> f64 {
+    let outcomes =
+        seeds.map(|seed| simulate(seed, nodes, Disabled::Nothing).unwrap_or_else(|error| panic!("{error}")));
+    let (acting, samples) = outcomes.fold((0, 0), |(a, s), outcome| (a + outcome.0, s + outcome.1));
+    acting as f64 / samples as f64
 }
 
 #[gtest]
-fn two_never_act_at_once_and_somebody_nearly_always_does() {
-    expect_that!(acted(0..40, 3), gt(0.75));
+fn two_nodes_never_act_at_once_and_one_acts_most_of_the_time() {
+    expect_that!(acting_ratio(0..40, 3), gt(0.75));
 }
 
 #[gtest]
-fn two_never_act_at_once_while_voters_change() {
-    expect_that!(acted(0..60, 5), gt(0.6));
+fn two_nodes_never_act_at_once_while_voters_change() {
+    expect_that!(acting_ratio(0..60, 5), gt(0.6));
 }
 
 #[gtest]
-fn each_part_is_needed_while_voters_change() {
-    for left in [Left::Lease, Left::Joint] {
-        let found = (0..60).find(|&seed| play(seed, 5, left).is_err());
-        println!("{left:?}: seed {found:?}");
-        expect_that!(found, some(anything()), "{left:?}");
+fn each_safeguard_is_needed_while_voters_change() {
+    for disabled in [Disabled::EpochLease, Disabled::JointMajority] {
+        let found = (0..60).find(|&seed| simulate(seed, 5, disabled).is_err());
+        println!("{disabled:?}: seed {found:?}");
+        expect_that!(found, some(anything()), "{disabled:?}");
     }
 }
 
 fn duties(name: &str) -> DutyTable {
     let names: Vec<String> = (0..3).map(|n| format!("n{n}")).collect();
     let mut duties = DutyTable::new(0, name, true);
-    duties.set_voters(0, first(&names));
-    duties.epoch_confirmed(1, CURRENT);
+    duties.set_voters(0, first_voters(&names));
+    duties.epoch_confirmed(1, EPOCH_LEASE);
     duties
 }
 
-fn others() -> BTreeSet<String> {
+fn other_nodes() -> BTreeSet<String> {
     ["n1", "n2"].map(String::from).into()
 }
 
 #[gtest]
-fn what_was_asked_for_and_is_another_s_by_now_is_given_up() {
+fn claims_of_slices_that_now_belong_to_others_are_released() {
     let mut duties = duties("n0");
-    let mut out = Vec::new();
-    // Alone it asks for all, and hears nothing; then the others are there.
-    duties.tick(0, BTreeSet::new(), &mut out);
-    out.clear();
-    duties.tick(10_000, others(), &mut out);
-    let released = out.iter().find_map(|step| match step {
+    let mut actions = Vec::new();
+    // While it sees no other node it claims all slices and gets no answer; then the others become reachable.
+    duties.tick(0, BTreeSet::new(), &mut actions);
+    actions.clear();
+    duties.tick(10_000, other_nodes(), &mut actions);
+    let released = actions.iter().find_map(|action| match action {
         DutyAction::Send(_, DutyMessage::Release { slices, .. }) => Some(slices.count_ones()),
         _ => None,
     });
@@ -258,36 +296,36 @@
 }
 
 #[gtest]
-fn with_nothing_wrong_duties_are_spread_and_kept() {
+fn without_faults_duties_are_spread_and_kept() {
     let mut duties = duties("n0");
-    let alive = others();
-    let mut gained = 0;
+    let alive = other_nodes();
+    let mut acquired = 0;
     for now in (0..20_u64).map(|n| n * 100_000) {
-        let mut out = Vec::new();
-        duties.tick(now, alive.clone(), &mut out);
-        for step in std::mem::take(&mut out) {
-            if let DutyAction::Send(to, DutyMessage::Claim { claim, slices }) = step {
-                duties.receive(now + 1_000, &to, DutyMessage::Promise { claim, slices }, &mut out);
+        let mut actions = Vec::new();
+        duties.tick(now, alive.clone(), &mut actions);
+        for action in std::mem::take(&mut actions) {
+            if let DutyAction::Send(to, DutyMessage::Claim { claim, slices }) = action {
+                duties.receive(now + 1_000, &to, DutyMessage::Promise { claim, slices }, &mut actions);
             }
         }
-        gained += out.iter().filter(|s| matches!(s, DutyAction::Acquired(_))).count();
+        acquired += actions.iter().filter(|action| matches!(action, DutyAction::Acquired(_))).count();
     }
     expect_that!(duties.held_count(1_950_000), all!(gt(1), lt(12)));
-    expect_that!(gained, eq(duties.held_count(1_950_000)), "once gained, a duty is kept");
+    expect_that!(acquired, eq(duties.held_count(1_950_000)), "an acquired slice is kept");
 }
 
-/// What is promised to one who asks for one slice.
+/// Sends a claim of slice 0 to the node, and returns the bit set of the slices that it promises.
 fn promised(duties: &mut DutyTable, now: Micros, to: &str, claim: u64) -> u32 {
-    let mut out = Vec::new();
-    duties.receive(now, to, DutyMessage::Claim { claim, slices: 1 }, &mut out);
-    match out[..] {
+    let mut actions = Vec::new();
+    duties.receive(now, to, DutyMessage::Claim { claim, slices: 1 }, &mut actions);
+    match actions[..] {
         [DutyAction::Send(_, DutyMessage::Promise { slices, .. })] => slices,
-        _ => panic!("{out:?}"),
+        _ => panic!("{actions:?}"),
     }
 }
 
 #[gtest]
-fn a_release_that_comes_late_leaves_what_was_promised_since() {
+fn a_late_release_does_not_cancel_a_newer_promise() {
     let mut duties = duties("n2");
     expect_that!(promised(&mut duties, 0, "n0", 1), eq(1));
     expect_that!(promised(&mut duties, 10_000, "n0", 2), eq(1));
@@ -298,37 +336,37 @@
 }
 
 #[gtest]
-fn who_restarts_promises_early_only_where_it_knows_all_who_may_claim() {
+fn a_restarted_node_promises_early_only_if_it_knows_all_voters() {
     let mut duties = DutyTable::new(0, "n2", false);
-    duties.set_voters(0, fence_voters(1, ["n0", "n1", "n2"], &[]));
+    duties.set_voters(0, voters(1, ["n0", "n1", "n2"], &[]));
     ["n0", "n1"].iter().for_each(|name| duties.peer_introduced(name));
-    expect_that!(promised(&mut duties, 10_000, "n0", 1), eq(0), "its epoch may be an old one");
-    duties.epoch_confirmed(1, CURRENT);
+    expect_that!(promised(&mut duties, 10_000, "n0", 1), eq(0), "its epoch may be outdated");
+    duties.epoch_confirmed(1, EPOCH_LEASE);
     expect_that!(promised(&mut duties, 20_000, "n0", 2), eq(1));
 }
 
 #[gtest]
-fn a_new_voter_claims_nothing_before_the_epoch_before_is_over() {
+fn a_new_voter_claims_nothing_before_the_joint_period_is_over() {
     let claims = |duties: &mut DutyTable, now| {
-        let mut out = Vec::new();
-        duties.tick(now, ["n0", "n1"].map(String::from).into(), &mut out);
-        out.iter().any(|step| matches!(step, DutyAction::Send(_, DutyMessage::Claim { .. })))
+        let mut actions = Vec::new();
+        duties.tick(now, ["n0", "n1"].map(String::from).into(), &mut actions);
+        actions.iter().any(|action| matches!(action, DutyAction::Send(_, DutyMessage::Claim { .. })))
     };
     let mut duties = DutyTable::new(0, "n3", false);
-    duties.set_voters(0, fence_voters(2, ["n0", "n1", "n3"], &["n0", "n1", "n2"]));
+    duties.set_voters(0, voters(2, ["n0", "n1", "n3"], &["n0", "n1", "n2"]));
     duties.epoch_confirmed(2, 2 * JOINT_PERIOD);
     expect_that!(claims(&mut duties, JOINT_PERIOD - 1_000), eq(false));
     expect_that!(claims(&mut duties, JOINT_PERIOD + 300_000), eq(true));
-    // Or that is known from another.
+    // Another node's notice that the epoch has settled ends the joint period early.
     let mut duties = DutyTable::new(0, "n3", false);
-    duties.set_voters(0, fence_voters(2, ["n0", "n1", "n3"], &["n0", "n1", "n2"]));
+    duties.set_voters(0, voters(2, ["n0", "n1", "n3"], &["n0", "n1", "n2"]));
     duties.epoch_settled(1);
     expect_that!(claims(&mut duties, 100_000), eq(false));
     duties.epoch_settled(2);
     expect_that!(claims(&mut duties, 400_000), eq(true));
 }
 
-fn fence_voters(epoch: u64, members: [&str; 3], before: &[&str]) -> Voters {
+fn voters(epoch: u64, members: [&str; 3], previous_members: &[&str]) -> Voters {
     let names = |of: &[&str]| of.iter().map(|name| name.to_string()).collect();
-    Voters { epoch, members: names(&members), previous: names(before) }
+    Voters { epoch, members: names(&members), previous: names(previous_members) }
 }
