--- a/crates/rollout/examples/seeds.rs
+++ b/crates/rollout/examples/seeds.rs
@@ -1,31 +1,32 @@
-//! Plays seeds of good and bad versions, and prints how they ended: `cargo run --release -p pinerelay-rollout --example seeds -- 1000`.
+//! Simulates rollouts of good and bad versions over many seeds, and prints a summary of the outcomes:
+//! `cargo run --release -p pinerelay-rollout --example seeds -- 1000`.
 
 use pinerelay_config_state::rollout::Stage;
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use fleet::{play, Badness, Outcome, Plan, ROLLBACK, SECOND};
+use fleet::{simulate, Defect, Outcome, Plan, ROLLBACK, SECOND};
 
-/// Seeds if none are named.
-const SEEDS: u64 = 100;
+/// The number of seeds if none is given on the command line.
+const DEFAULT_SEEDS: u64 = 100;
 
-const KINDS: [(&str, Badness); 9] = [
-    ("good", Badness::None),
-    ("errors 0.5", Badness::Errors(0.5)),
-    ("errors 0.2", Badness::Errors(0.2)),
-    ("slow 0.38 x 8", Badness::Slow(0.38, 8.0)),
-    ("slow 0.38 x 4", Badness::Slow(0.38, 4.0)),
-    ("slow 0.6 x 3", Badness::Slow(0.6, 3.0)),
-    ("one route 0.5", Badness::OneRoute(0.5)),
-    ("late 0.4 from 3 s", Badness::Late(0.4, 3 * SECOND)),
-    ("late 0.4 from 5 s", Badness::Late(0.4, 5 * SECOND)),
+const CASES: [(&str, Defect); 9] = [
+    ("good", Defect::None),
+    ("errors 0.5", Defect::Errors(0.5)),
+    ("errors 0.2", Defect::Errors(0.2)),
+    ("slow 0.38 x 8", Defect::Slow(0.38, 8.0)),
+    ("slow 0.38 x 4", Defect::Slow(0.38, 4.0)),
+    ("slow 0.6 x 3", Defect::Slow(0.6, 3.0)),
+    ("one route 0.5", Defect::OneRoute(0.5)),
+    ("late 0.4 from 3 s", Defect::Late(0.4, 3 * SECOND)),
+    ("late 0.4 from 5 s", Defect::Late(0.4, 5 * SECOND)),
 ];
 
-/// The value below which a part of the values lie.
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Returns the quantile of the values at a fraction from 0 to 1.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let index = (values.len().saturating_sub(1) as f64 * part) as usize;
+    let index = (values.len().saturating_sub(1) as f64 * fraction) as usize;
     values.get(index).copied().unwrap_or(0.0)
 }
 
@@ -54,18 +55,18 @@
 }
 
 fn main() {
-    let seeds = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
-    for (name, badness) in KINDS {
+    let seeds = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEEDS);
+    for (name, defect) in CASES {
         for (condition, faults, lost_messages) in [("calm", 0.01, 0.0), ("troubled", 0.05, 0.2)] {
-            let disturbed = (condition == "troubled").then_some(());
+            let disturbances = (condition == "troubled").then_some(());
             let plan = |seed| Plan {
                 faults,
                 lost_messages,
-                takeover_every: disturbed.map(|()| 3_700_000),
-                restart_every: disturbed.map(|()| 130_000),
-                ..Plan::new(seed, badness)
+                takeover_every: disturbances.map(|()| 3_700_000),
+                restart_every: disturbances.map(|()| 130_000),
+                ..Plan::new(seed, defect)
             };
-            let outcomes: Vec<Outcome> = (0..seeds).map(|seed| play(plan(seed))).collect();
+            let outcomes: Vec<Outcome> = (0..seeds).map(|seed| simulate(plan(seed))).collect();
             println!("{condition:8} {}", summary(name, &outcomes));
         }
     }
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -1,8 +1,8 @@
-//! When a rollout goes on, and when it is reverted: a state machine without clock or messages, at the registry that has the duty
-//! for the service.
+//! Decides when a rollout advances to its next stage and when it is reverted: a state machine without I/O or a clock, at the
+//! registry that has the duty for the service.
 //!
-//! It decides on the item that the stores have committed, and proposes the next stage for it. A registry that has acted before and
-//! does not know that another has the duty now proposes for a revision that is no longer there, which the stores reject.
+//! It decides on the rollout item that the stores have committed, and proposes the item's next stage. A registry that does not know
+//! yet that it has lost the duty proposes for an outdated revision, which the stores reject.
 
 use std::collections::BTreeMap;
 
@@ -13,50 +13,52 @@
 use crate::report::{RolloutPermit, RolloutReport};
 use crate::Micros;
 
-/// How long a permit is valid at most. A proxy that has no other by then sends nothing to the new version.
+/// The maximum duration of a permit. A proxy without a newer permit by then sends nothing to the new version.
 const MAX_PERMIT_DURATION: Micros = 1_000_000;
-/// The part of the time for a stop for which a permit is valid: most of it goes to finding that the version is bad.
-const PERMIT_PART: f64 = 0.25;
-/// How often proxies report.
+/// The duration of a permit as a fraction of the operator's time limit for a rollback. The rest of that time is needed to find that
+/// the version is bad.
+const PERMIT_FRACTION: f64 = 0.25;
+/// The interval between a proxy's reports.
 pub const REPORT_INTERVAL: Micros = 300_000;
-/// The part of the operator's bounds on exposure that a canary uses; the ramp uses no more than the rest.
-const CANARY_PART_OF_EXPOSURE: f64 = 0.6;
-/// The part of the requests in each step of the ramp, in thousandths.
+/// The fraction of the operator's exposure bounds that the canary stage uses; the ramp uses no more than the rest.
+const CANARY_EXPOSURE_FRACTION: f64 = 0.6;
+/// The fraction of the requests in each step of the ramp, in thousandths.
 const RAMP_SHARES: [u16; 2] = [250, 500];
-/// The part of the time to the deadline for which the new version has to be healthy as a canary.
-const CANARY_PART: f64 = 0.3;
-/// The part of the time to the deadline that a step of the ramp takes, for each part of the requests that the new version may get.
-const RAMP_STEP_PART: f64 = 0.6;
-/// A step of the ramp takes no less.
+/// The minimum duration of the canary stage, counted from the first request to the new version, as a fraction of the time to the
+/// deadline.
+const CANARY_FRACTION: f64 = 0.3;
+/// The duration of a step of the ramp, as a fraction of the time to the deadline multiplied by the exposure bound.
+const RAMP_STEP_FRACTION: f64 = 0.6;
+/// The minimum duration of a step of the ramp.
 const MIN_RAMP_STEP: Micros = 800_000;
-/// After this part of the time a version that has not been shown to be healthy is reverted.
-const DECISION_PART: f64 = 0.92;
-/// Doubt about a version for so long, with so many bad attempts, is enough to give it up: with twice as many, which is where the
-/// operator's bound for the stop begins, a difference may still be explained by chance.
-const DOUBT_PERIOD: Micros = 1_000_000;
-/// See [`DOUBT_PERIOD`].
-const DOUBTFUL_ATTEMPTS: f64 = 25.0;
-/// A proposal that has had no effect by then is made again.
+/// After this fraction of the time to the deadline, a version that has not been shown to be healthy is reverted.
+const DECISION_FRACTION: f64 = 0.92;
+/// A version is given up when it has been suspect for this long with at least [`MIN_SUSPECT_ATTEMPTS`] bad attempts. The operator's
+/// time limit for a rollback starts at twice as many bad attempts, and even then a difference may still be explained by chance.
+const SUSPICION_PERIOD: Micros = 1_000_000;
+/// The minimum number of excess bad attempts of a suspect version; see [`SUSPICION_PERIOD`].
+const MIN_SUSPECT_ATTEMPTS: f64 = 25.0;
+/// A proposal without an effect is repeated after this time.
 const PROPOSAL_INTERVAL: Micros = 400_000;
-/// A proxy that has been missing for so long is not waited for: it knows no server by then, or has ended.
+/// A proxy that has been missing for this long is not waited for: by then it has dropped all servers, or its process has ended.
 const MISSING_PROXY_TIMEOUT: Micros = 6_000_000;
-/// Canary requests wait until this part of the new version's servers is past its slow start.
-const WARM_PART: f64 = 0.8;
-/// The new version has to have so many servers, as a part of those of the others, before it gets all requests.
-const CAPACITY_PART: f64 = 0.6;
-/// With fewer of its servers left, as a part of the most that there were, the new version is given up.
-const LEFT_PART: f64 = 0.5;
-/// New servers that come later than this after the first are not waited for.
-const WARM_TIMEOUT: Micros = 6_000_000;
+/// No permits are given until this fraction of the expected servers of the new version is past slow start.
+const WARM_FRACTION: f64 = 0.8;
+/// The minimum number of servers of the new version for the cutover, as a fraction of those of the stable versions.
+const CAPACITY_FRACTION: f64 = 0.6;
+/// The new version is given up when fewer of its servers are left than this fraction of their largest number.
+const MIN_SERVERS_FRACTION: f64 = 0.5;
+/// The maximum wait, from the first server of the new version on, for the other ones to be past slow start.
+const WARM_UP_TIMEOUT: Micros = 6_000_000;
 
-/// The operator's bounds.
+/// The operator's bounds on the exposure of a bad version and on the time to stop it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutBounds {
-    /// The share of the requests between order and deadline that a bad version may get.
+    /// The fraction of the requests between order and deadline that a bad version may get.
     pub exposure_share: f64,
-    /// The number of requests that it may get on top.
+    /// The number of requests that a bad version may get in addition.
     pub exposure_margin: f64,
-    /// The time after its fiftieth bad answer from which on it may get nothing.
+    /// The time limit, counted from its fiftieth bad answer, after which a bad version may get no more requests.
     pub rollback: Micros,
 }
 
@@ -66,62 +68,62 @@
     }
 }
 
-/// What the registry knows besides the reports.
+/// The servers and proxies, as the registry sees them, for the decisions on one service.
 #[derive(Debug, Clone, Default)]
 pub struct Surroundings {
-    /// The servers of the new version that are ready.
+    /// The number of ready servers of the new version.
     pub target_servers: usize,
-    /// Those of them that are past their slow start.
+    /// The number of these servers that are past slow start.
     pub warm_target_servers: usize,
-    /// The servers of the other versions that are ready.
+    /// The number of ready servers of the stable versions.
     pub stable_servers: usize,
-    /// The proxies that are linked to this registry, with their processes.
+    /// The proxies that are linked to this registry, with their process IDs.
     pub linked_proxies: BTreeMap<String, u64>,
-    /// The proxies that are not heard any more, and since when.
+    /// The proxies that have become unreachable, and since when.
     pub missing_proxies: BTreeMap<String, Micros>,
     /// The number of proxies, as far as any registry knows.
     pub total_proxies: usize,
 }
 
-/// What a proxy has reported last.
+/// The last reported state of a proxy.
 #[derive(Debug, Clone, Copy, Default)]
 struct ProxyState {
     process_id: u64,
-    /// The revision of the item that is in force there.
+    /// The revision of the rollout item that is in force at the proxy.
     in_force: u64,
     has_drained: bool,
 }
 
-/// One rollout, as a registry follows it.
+/// The state of one rollout at the registry that decides on it.
 #[derive(Debug, Clone)]
 pub struct Decider {
     bounds: RolloutBounds,
     order: u64,
     /// When this registry learned of the order.
     known_since: Micros,
-    /// How old the order was then.
+    /// The age of the order at `known_since`.
     age_when_known: Micros,
     evidence: Evidence,
     proxies: BTreeMap<String, ProxyState>,
-    /// The most servers of the new version that were ready.
+    /// The largest number of ready servers of the new version so far.
     most_target_servers: usize,
-    /// When the first server of the new version was seen.
+    /// When the first ready server of the new version was seen.
     target_since: Option<Micros>,
-    /// Since when the new version has had requests, as far as any proxy knows.
+    /// When the new version got its first request, according to the proxies' reports.
     exposed_since: Option<Micros>,
-    /// The step of the ramp, and when it began.
+    /// The current step of the ramp, and when it began.
     ramp_step: Option<(usize, Micros)>,
-    /// Since when there has been doubt about the new version.
-    doubt_since: Option<Micros>,
-    /// Whether the new version was found to be worse: nothing is permitted any more.
+    /// Since when the new version has been suspect.
+    suspect_since: Option<Micros>,
+    /// The last verdict; a bad one is final and ends all permits.
     verdict: Verdict,
     proposed_at: Option<Micros>,
 }
 
 impl Decider {
-    /// Follows the rollout of an item. `time_of_day_ms` is the time of day.
+    /// Starts to decide on a rollout. `time_of_day_ms` is the current time of day, from which the order's age is computed.
     pub fn new(now: Micros, time_of_day_ms: u64, bounds: RolloutBounds, rollout: &Rollout) -> Decider {
-        // A clock that has been set may make it any age. At most it is over.
+        // The age is wrong if a clock was adjusted, and is limited to the deadline.
         let age_ms = time_of_day_ms.saturating_sub(rollout.ordered_at_ms).min(rollout.deadline_ms);
         Decider {
             bounds,
@@ -134,23 +136,23 @@
             target_since: None,
             exposed_since: None,
             ramp_step: None,
-            doubt_since: None,
+            suspect_since: None,
             verdict: Verdict::Undecided,
             proposed_at: None,
         }
     }
 
-    /// The order that it follows.
+    /// The order that started the rollout: the item's revision at which it was accepted.
     pub fn order(&self) -> u64 {
         self.order
     }
 
-    /// What all proxies have reported.
+    /// The outcomes that all proxies have reported.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
 
-    /// A proxy has reported.
+    /// Handles a proxy's report.
     pub fn report(&mut self, now: Micros, node: &str, process_id: u64, report: &RolloutReport) {
         if report.exposed_for > 0 {
             let since = now.saturating_sub(report.exposed_for);
@@ -162,22 +164,22 @@
         self.proxies.insert(node.into(), state);
     }
 
-    /// A proxy's process has ended: what it confirmed does not hold for the next one.
+    /// Drops the state of a proxy whose process has ended: what it has confirmed does not apply to its next process.
     pub fn proxy_ended(&mut self, node: &str) {
         self.proxies.remove(node);
     }
 
-    /// Time has passed. Returns the stage that the rollout should go on to, if that is another one.
-    pub fn tick(&mut self, now: Micros, item: &RolloutInForce, around: &Surroundings) -> Option<Stage> {
+    /// Updates the verdict as time passes, and returns the stage to propose, if the rollout should advance or be reverted now.
+    pub fn tick(&mut self, now: Micros, item: &RolloutInForce, fleet: &Surroundings) -> Option<Stage> {
         self.evidence.tick(now);
-        if around.target_servers > 0 {
+        if fleet.target_servers > 0 {
             self.target_since.get_or_insert(now);
         }
-        self.most_target_servers = self.most_target_servers.max(around.target_servers);
+        self.most_target_servers = self.most_target_servers.max(fleet.target_servers);
         if !self.verdict.is_bad() {
-            self.verdict = self.judge(now, item.rollout.stage);
+            self.verdict = self.assess(now, item.rollout.stage);
         }
-        let next = self.next_stage(now, item, around)?;
+        let next = self.next_stage(now, item, fleet)?;
         let is_repeated = self.proposed_at.is_some_and(|at| now < at + PROPOSAL_INTERVAL);
         if is_repeated {
             return None;
@@ -186,76 +188,78 @@
         Some(next)
     }
 
-    /// How the new version compares with the others now.
-    fn judge(&mut self, now: Micros, stage: Stage) -> Verdict {
+    /// Compares the new version with the stable ones. A suspicion that lasts for [`SUSPICION_PERIOD`] becomes the verdict.
+    fn assess(&mut self, now: Micros, stage: Stage) -> Verdict {
         if stage == Stage::Cutover {
-            return self.evidence.verdict(now, Comparison::WithBefore);
+            return self.evidence.verdict(now, Comparison::Earlier);
         }
-        let verdict = self.evidence.verdict(now, Comparison::AtTheSameTime);
-        let doubt = self.evidence.doubt().filter(|doubt| doubt.bad_attempts >= DOUBTFUL_ATTEMPTS);
-        let Some(doubt) = doubt else {
-            self.doubt_since = None;
+        let verdict = self.evidence.verdict(now, Comparison::Concurrent);
+        let suspicion =
+            self.evidence.suspicion().filter(|suspicion| suspicion.bad_attempts >= MIN_SUSPECT_ATTEMPTS);
+        let Some(suspicion) = suspicion else {
+            self.suspect_since = None;
             return verdict;
         };
-        let since = *self.doubt_since.get_or_insert(now);
-        let is_long = now >= since.saturating_add(DOUBT_PERIOD);
+        let since = *self.suspect_since.get_or_insert(now);
+        let is_long = now >= since.saturating_add(SUSPICION_PERIOD);
         if is_long && !verdict.is_bad() {
-            return doubt.verdict;
+            return suspicion.verdict;
         }
         verdict
     }
 
-    /// The stages of the item have changed.
+    /// Records that the item's stage has changed, so that the next proposal is not delayed.
     pub fn stage_changed(&mut self) {
         self.proposed_at = None;
     }
 
-    fn next_stage(&mut self, now: Micros, item: &RolloutInForce, around: &Surroundings) -> Option<Stage> {
+    /// The stage that should follow now; `None` to stay in the current one.
+    fn next_stage(&mut self, now: Micros, item: &RolloutInForce, fleet: &Surroundings) -> Option<Stage> {
         let rollout = &item.rollout;
         if !rollout.stage.is_under_way() {
             return None;
         }
-        if self.verdict.is_bad() || self.has_lost_servers(around) {
+        if self.verdict.is_bad() || self.has_lost_servers(fleet) {
             return Some(Stage::Reverted);
         }
         match rollout.stage {
             Stage::Canary if self.has_been_healthy(now, rollout) => Some(Stage::Ramp),
             Stage::Canary => self.is_out_of_time(now, rollout).then_some(Stage::Reverted),
-            Stage::Ramp => self.ramp(now, rollout, around),
-            _ => self.all_have_drained(now, item, around).then_some(Stage::Finished),
+            Stage::Ramp => self.ramp(now, rollout, fleet),
+            _ => self.all_have_drained(now, item, fleet).then_some(Stage::Finished),
         }
     }
 
-    /// Whether most of the new version's servers have gone.
-    fn has_lost_servers(&self, around: &Surroundings) -> bool {
-        (around.target_servers as f64) < self.most_target_servers as f64 * LEFT_PART
+    /// Whether the new version has lost too many of its servers.
+    fn has_lost_servers(&self, fleet: &Surroundings) -> bool {
+        (fleet.target_servers as f64) < self.most_target_servers as f64 * MIN_SERVERS_FRACTION
     }
 
     fn has_been_healthy(&self, now: Micros, rollout: &Rollout) -> bool {
-        let needed = part_of_deadline(rollout, CANARY_PART);
+        let needed = fraction_of_deadline(rollout, CANARY_FRACTION);
         let is_long = self.exposed_since.is_some_and(|since| now >= since.saturating_add(needed));
         is_long && self.verdict == Verdict::Healthy
     }
 
     fn is_out_of_time(&self, now: Micros, rollout: &Rollout) -> bool {
-        self.age(now) >= part_of_deadline(rollout, DECISION_PART)
+        self.age(now) >= fraction_of_deadline(rollout, DECISION_FRACTION)
     }
 
-    /// How long ago the order was accepted.
+    /// The time since the order was accepted.
     fn age(&self, now: Micros) -> Micros {
         self.age_when_known.saturating_add(now.saturating_sub(self.known_since))
     }
 
-    /// Goes on with the ramp. A registry that takes the duty over begins it anew.
-    fn ramp(&mut self, now: Micros, rollout: &Rollout, around: &Surroundings) -> Option<Stage> {
-        let part = RAMP_STEP_PART * self.bounds.exposure_share;
-        let duration = part_of_deadline(rollout, part).max(MIN_RAMP_STEP);
+    /// Advances the ramp, and returns the stage that should follow it. A registry that takes over the duty restarts the ramp.
+    fn ramp(&mut self, now: Micros, rollout: &Rollout, fleet: &Surroundings) -> Option<Stage> {
+        let fraction = RAMP_STEP_FRACTION * self.bounds.exposure_share;
+        let duration = fraction_of_deadline(rollout, fraction).max(MIN_RAMP_STEP);
         let (step, since) = *self.ramp_step.get_or_insert((0, now));
         if now < since.saturating_add(duration) {
             return None;
         }
         let is_last = step + 1 == RAMP_SHARES.len();
-        let has_capacity = around.target_servers as f64 >= around.stable_servers as f64 * CAPACITY_PART;
+        let has_capacity = fleet.target_servers as f64 >= fleet.stable_servers as f64 * CAPACITY_FRACTION;
         if self.verdict != Verdict::Healthy || is_last && !has_capacity {
             return self.is_out_of_time(now, rollout).then_some(Stage::Reverted);
         }
@@ -266,8 +270,8 @@
         None
     }
 
-    /// Whether no proxy can send to the other versions any more, and none has a request open there.
-    fn all_have_drained(&self, now: Micros, item: &RolloutInForce, around: &Surroundings) -> bool {
+    /// Whether no proxy sends requests to the stable versions any more, and none has one open there.
+    fn all_have_drained(&self, now: Micros, item: &RolloutInForce, fleet: &Surroundings) -> bool {
         let has_drained = |state: &ProxyState| state.in_force >= item.revision && state.has_drained;
         let is_done = |(node, process_id): (&String, &u64)| {
             let state = self.proxies.get(node).filter(|state| state.process_id == *process_id);
@@ -277,21 +281,21 @@
         let missing_is_done = |(node, since): (&String, &Micros)| {
             is_given_up(since) || self.proxies.get(node).is_some_and(has_drained)
         };
-        let known = around.linked_proxies.len() + around.missing_proxies.len();
-        known >= around.total_proxies
-            && around.linked_proxies.iter().all(is_done)
-            && around.missing_proxies.iter().all(missing_is_done)
+        let known = fleet.linked_proxies.len() + fleet.missing_proxies.len();
+        known >= fleet.total_proxies
+            && fleet.linked_proxies.iter().all(is_done)
+            && fleet.missing_proxies.iter().all(missing_is_done)
     }
 
-    /// The permit for a proxy that has reported; `None` if nothing is permitted now.
+    /// Returns the permit in answer to a proxy's report; `None` if no requests to the new version are permitted now.
     pub fn permit(
         &self,
         now: Micros,
         rollout: &Rollout,
-        around: &Surroundings,
+        fleet: &Surroundings,
         report: &RolloutReport,
     ) -> Option<RolloutPermit> {
-        if self.verdict.is_bad() || !self.is_warm(now, around) {
+        if self.verdict.is_bad() || !self.is_warm(now, fleet) {
             return None;
         }
         let (share_permille, is_cumulative) = match (rollout.stage, self.ramp_step) {
@@ -305,35 +309,36 @@
             sent_at: report.sent_at,
             duration: self.permit_duration(),
             share_permille,
-            margin: (self.bounds.exposure_margin * CANARY_PART_OF_EXPOSURE) as u32,
+            margin: (self.bounds.exposure_margin * CANARY_EXPOSURE_FRACTION) as u32,
             is_cumulative,
         })
     }
 
-    /// The part of all requests since the order that a canary gets, in thousandths.
+    /// The fraction of the requests that the new version may get as a canary, in thousandths.
     fn canary_share(&self) -> u16 {
-        (self.bounds.exposure_share * CANARY_PART_OF_EXPOSURE * 1_000.0) as u16
+        (self.bounds.exposure_share * CANARY_EXPOSURE_FRACTION * 1_000.0) as u16
     }
 
     fn permit_duration(&self) -> Micros {
-        let part = (self.bounds.rollback as f64 * PERMIT_PART) as Micros;
-        part.min(MAX_PERMIT_DURATION)
+        let rollback_fraction = (self.bounds.rollback as f64 * PERMIT_FRACTION) as Micros;
+        rollback_fraction.min(MAX_PERMIT_DURATION)
     }
 
-    /// Whether the new version's servers are past their slow start, in which they would look slow.
-    fn is_warm(&self, now: Micros, around: &Surroundings) -> bool {
-        let expected = around.target_servers.max(around.stable_servers) as f64;
-        let has_waited = self.target_since.is_some_and(|since| now >= since + WARM_TIMEOUT);
-        let is_most = around.warm_target_servers as f64 >= expected * WARM_PART;
-        around.warm_target_servers > 0 && (is_most || has_waited)
+    /// Whether enough servers of the new version are past slow start, during which they would appear slow.
+    fn is_warm(&self, now: Micros, fleet: &Surroundings) -> bool {
+        let expected = fleet.target_servers.max(fleet.stable_servers) as f64;
+        let has_waited = self.target_since.is_some_and(|since| now >= since + WARM_UP_TIMEOUT);
+        let are_most_warm = fleet.warm_target_servers as f64 >= expected * WARM_FRACTION;
+        fleet.warm_target_servers > 0 && (are_most_warm || has_waited)
     }
 
-    /// Whether the new version was found to be worse, and how.
+    /// The last result of comparing the new version with the stable ones.
     pub fn verdict(&self) -> Verdict {
         self.verdict
     }
 }
 
-fn part_of_deadline(rollout: &Rollout, part: f64) -> Micros {
-    (rollout.deadline_ms as f64 * 1_000.0 * part) as Micros
+/// Returns a fraction of the time from the order to the deadline.
+fn fraction_of_deadline(rollout: &Rollout, fraction: f64) -> Micros {
+    (rollout.deadline_ms as f64 * 1_000.0 * fraction) as Micros
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,94 +1,96 @@
-//! What all proxies have seen of both versions, and whether the new one is worse.
+//! The outcomes that all proxies have reported, and whether the new version is worse than the stable ones.
 //!
-//! Both versions are compared route by route, over the same time: what hits both shows nothing. Once the new version has all
-//! requests there is no such comparison, and only many more failures than before count. A difference counts if it exceeds a
-//! tolerance and some standard deviations of a difference by chance (the two-proportion z-test). Between the limit of an alarm and that
-//! of clearance nothing is decided, and more is waited for: a version that was not found to be bad is not good for that.
+//! Both sides are compared route by route over the same period, so that faults which affect both do not count. Once the new version
+//! gets all requests there is no concurrent comparison, and only many more failures than before count. A difference counts if it
+//! exceeds a tolerance plus several standard deviations of a difference by chance (two-proportion z-test). The limits for a bad
+//! version are wider than those for a healthy one; between them the verdict is open until there is more evidence, because a version
+//! that was not found to be bad is not healthy for that reason.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::report::{RolloutReport, RouteSample, VersionSample, LATENCY_CLASSES};
 use crate::Micros;
 
-/// From which differences on something is concluded.
+/// The limits beyond which a difference counts.
 #[derive(Debug, Clone, Copy)]
 struct Limits {
-    /// By how much a larger part of the new version's attempts may fail.
+    /// The tolerated difference of the failure ratios.
     failure_tolerance: f64,
-    /// By how much a larger part of them may take longer than some latency.
+    /// The tolerated difference of the ratios of attempts above a latency.
     slowness_tolerance: f64,
-    /// How many standard deviations a difference has to exceed besides.
+    /// The number of standard deviations that a difference has to exceed the tolerance by.
     deviations: f64,
-    /// How many attempts have to be bad.
+    /// The minimum number of bad attempts at the new version.
     min_bad_attempts: u64,
 }
 
-/// Beyond these the new version is worse. Four deviations are one chance in 30,000 for one test, and tests are repeated with each
-/// report.
-const ALARM: Limits =
+/// Beyond these limits the new version is worse. Four deviations occur by chance once in 30,000 tests, and the test is repeated
+/// with each report.
+const WORSE_LIMITS: Limits =
     Limits { failure_tolerance: 0.05, slowness_tolerance: 0.08, deviations: 4.0, min_bad_attempts: 5 };
-/// Within these, over all time since the order, it is healthy.
-const CLEARANCE: Limits =
+/// Within these limits, over the whole time since the order, the new version is healthy.
+const HEALTHY_LIMITS: Limits =
     Limits { failure_tolerance: 0.02, slowness_tolerance: 0.04, deviations: 1.5, min_bad_attempts: 3 };
-/// Beyond these it is worse once it has all requests, and is compared with what the others did before.
-const LATER_ALARM: Limits = Limits { failure_tolerance: 0.15, ..ALARM };
-/// Latencies this many classes below that of the route's target do not matter: there the cost of new connections shows.
+/// Beyond these limits the new version is worse once it gets all requests, compared with the stable versions' earlier attempts.
+const CUTOVER_LIMITS: Limits = Limits { failure_tolerance: 0.15, ..WORSE_LIMITS };
+/// Latencies are compared from this many classes below the route's target on. Lower ones reflect the cost of new connections.
 const CLASSES_BELOW_TARGET: usize = 3;
-/// No judgement is made on fewer attempts at the new version, nor of its latency on fewer at the others.
+/// The minimum number of attempts at the new version for any comparison, and at the stable versions for one of latencies.
 const MIN_ATTEMPTS: u64 = 12;
-/// A version is healthy only with so many attempts.
+/// The minimum number of attempts at the new version for it to be healthy.
 const HEALTHY_ATTEMPTS: u64 = 30;
-/// A route with a smaller part of the service's attempts is not waited for.
+/// A route with a smaller fraction of the service's attempts need not have enough evidence.
 const ROUTE_SHARE: f64 = 0.05;
-/// A route that is waited for needs so many attempts at the new version.
+/// The minimum number of attempts at the new version on each other route.
 const ROUTE_ATTEMPTS: u32 = 8;
-/// The spans over which versions are compared, besides the whole time: what turns bad late would be diluted by the rest.
+/// The recent periods over which versions are compared, in addition to the whole time, which would dilute a late change for the
+/// worse.
 const SPANS: [Micros; 2] = [2_000_000, 5_000_000];
-/// How often the totals are noted.
+/// The interval between snapshots of the totals.
 const SNAPSHOT_INTERVAL: Micros = 500_000;
-/// How many of them are kept: more than the longest span needs.
+/// The number of snapshots that are kept, which is more than the longest span needs.
 const SNAPSHOTS: usize = 12;
-/// So many routes are told apart; the rest are compared together.
+/// The maximum number of routes with totals of their own; further ones are combined.
 const MAX_ROUTES: usize = 64;
-/// Stands for all routes beyond those.
+/// The key of the combined totals of further routes.
 const OTHER_ROUTES: u64 = 0;
 
-/// How the new version compares with the others.
+/// The result of comparing the new version with the stable ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too little is known.
+    /// The evidence is not sufficient.
     Undecided,
-    /// Nothing shows that it is worse.
+    /// The evidence is sufficient and does not suggest that it is worse.
     Healthy,
-    /// More of its attempts fail.
+    /// A larger fraction of its attempts fail.
     Failing,
-    /// More of its attempts take longer than some latency that matters.
+    /// A larger fraction of its attempts exceed one of the compared latencies.
     Slow,
 }
 
 impl Verdict {
-    /// Whether the new version is worse.
+    /// Whether the new version was found to be worse.
     pub fn is_bad(self) -> bool {
         matches!(self, Verdict::Failing | Verdict::Slow)
     }
 }
 
-/// How the new version differs from the others for the worse.
+/// A difference by which the new version is worse.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Difference {
-    /// In what.
+    /// The kind of difference.
     pub verdict: Verdict,
-    /// How many of its attempts are bad beyond what the others would have had.
+    /// The number of its bad attempts in excess of the stable versions' ratio.
     pub bad_attempts: f64,
 }
 
-/// With what the new version is compared.
+/// The attempts that the new version is compared with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
-    /// With the others at the same time.
-    AtTheSameTime,
-    /// With the others before: the new version has all requests now.
-    WithBefore,
+    /// Attempts at the stable versions during the same period.
+    Concurrent,
+    /// Earlier attempts at the stable versions, because the new version gets all requests now.
+    Earlier,
 }
 
 type Totals = BTreeMap<u64, RouteSample>;
@@ -100,17 +102,17 @@
     routes: Vec<RouteSample>,
 }
 
-/// What all proxies have reported of one rollout.
+/// The outcomes that all proxies have reported for one rollout.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
     totals: Totals,
     last_reports: BTreeMap<String, LastReport>,
-    /// The totals at earlier moments, the oldest first.
+    /// The totals at earlier times, oldest first.
     snapshots: VecDeque<(Micros, Totals)>,
 }
 
 impl Evidence {
-    /// A proxy has reported. Each report holds all that its process has counted.
+    /// Adds a proxy's report. Each report contains all counts of the process, of which the new ones are added.
     pub fn report(&mut self, node: &str, process_id: u64, report: &RolloutReport) {
         let last = self.last_reports.get(node).filter(|last| last.process_id == process_id);
         let nothing = RouteSample::default();
@@ -141,7 +143,7 @@
         total.target.add(&change.target);
     }
 
-    /// Time has passed.
+    /// Takes a snapshot of the totals when one is due.
     pub fn tick(&mut self, now: Micros) {
         let is_due = self.snapshots.back().is_none_or(|(at, _)| now >= at + SNAPSHOT_INTERVAL);
         if is_due {
@@ -152,35 +154,35 @@
         }
     }
 
-    /// All attempts at the new version.
+    /// The number of attempts at the new version.
     pub fn target_attempts(&self) -> u64 {
         self.totals.values().map(|sample| u64::from(sample.target.attempts)).sum()
     }
 
-    /// All attempts at the new version that failed.
+    /// The number of failed attempts at the new version.
     pub fn target_failures(&self) -> u64 {
         self.totals.values().map(|sample| u64::from(sample.target.failures)).sum()
     }
 
-    /// How the new version compares with the others so far.
+    /// Compares the new version with the stable ones, over the evidence so far.
     pub fn verdict(&self, now: Micros, comparison: Comparison) -> Verdict {
         let bad = match comparison {
-            Comparison::AtTheSameTime => {
-                let alarm = |sample: &RouteSample| compare(sample, &ALARM);
-                let worst = worst_of(self.totals.values().copied(), alarm);
-                let spans = SPANS.iter().filter_map(|span| worst_of(self.within(now, *span)?, alarm));
+            Comparison::Concurrent => {
+                let is_worse = |sample: &RouteSample| compare(sample, &WORSE_LIMITS);
+                let worst = worst_of(self.totals.values().copied(), is_worse);
+                let spans = SPANS.iter().filter_map(|span| worst_of(self.within(now, *span)?, is_worse));
                 worst.into_iter().chain(spans).next()
             }
-            Comparison::WithBefore => self.worst_since_before(now),
+            Comparison::Earlier => self.worst_recent(now),
         };
         match bad {
             Some(bad) => bad.verdict,
-            None if self.is_sufficient() && self.doubt().is_none() => Verdict::Healthy,
+            None if self.is_sufficient() && self.suspicion().is_none() => Verdict::Healthy,
             None => Verdict::Undecided,
         }
     }
 
-    /// What has come within a span; `None` if nothing is known from before.
+    /// The outcomes of the most recent span; `None` if no snapshot is old enough.
     fn within(&self, now: Micros, span: Micros) -> Option<impl Iterator<Item = RouteSample> + '_> {
         let (_, earlier) = self.snapshots.iter().rfind(|(at, _)| at + span <= now)?;
         Some(self.totals.values().map(|total| {
@@ -191,89 +193,94 @@
         }))
     }
 
-    /// Compares what the new version did lately with what the others did since the order.
-    fn worst_since_before(&self, now: Micros) -> Option<Difference> {
+    /// Compares the recent attempts at the new version with all those at the stable versions since the order.
+    fn worst_recent(&self, now: Micros) -> Option<Difference> {
         let [span, _] = SPANS;
         let samples = self.within(now, span)?.map(|sample| {
             let stable = self.totals.get(&sample.route).map_or(sample.stable, |total| total.stable);
             RouteSample { stable, ..sample }
         });
-        worst_of(samples, |sample| fails_more(sample, &LATER_ALARM))
+        worst_of(samples, |sample| failure_difference(sample, &CUTOVER_LIMITS))
     }
 
-    /// What hints that the new version is worse, since the order, though it may be chance.
-    pub fn doubt(&self) -> Option<Difference> {
-        worst_of(self.totals.values().copied(), |sample| compare(sample, &CLEARANCE))
+    /// The largest difference since the order that suggests that the new version is worse, though it may be due to chance.
+    pub fn suspicion(&self) -> Option<Difference> {
+        worst_of(self.totals.values().copied(), |sample| compare(sample, &HEALTHY_LIMITS))
     }
 
-    /// Whether enough is known of each route that has a part of the requests.
+    /// Whether the evidence is sufficient overall and on each route with a relevant fraction of the attempts.
     fn is_sufficient(&self) -> bool {
         let attempts =
             |sample: &RouteSample| f64::from(sample.stable.attempts) + f64::from(sample.target.attempts);
         let all: f64 = self.totals.values().map(attempts).sum();
-        let counts = |sample: &&RouteSample| attempts(sample) >= all * ROUTE_SHARE;
+        let is_relevant = |sample: &&RouteSample| attempts(sample) >= all * ROUTE_SHARE;
         let has_enough = |sample: &RouteSample| sample.target.attempts >= ROUTE_ATTEMPTS;
-        self.target_attempts() >= HEALTHY_ATTEMPTS && self.totals.values().filter(counts).all(has_enough)
+        self.target_attempts() >= HEALTHY_ATTEMPTS && self.totals.values().filter(is_relevant).all(has_enough)
     }
 }
 
-/// The difference with the most bad attempts, on any route or on all together.
+/// Returns the difference with the most bad attempts, on a single route or on all of them combined.
 fn worst_of(
     samples: impl Iterator<Item = RouteSample>,
     compare: impl Fn(&RouteSample) -> Option<Difference>,
 ) -> Option<Difference> {
-    let mut together = RouteSample::default();
+    let mut combined = RouteSample::default();
     let mut differences = Vec::new();
     for sample in samples {
-        together.target_class = together.target_class.max(sample.target_class);
-        together.stable.add(&sample.stable);
-        together.target.add(&sample.target);
+        combined.target_class = combined.target_class.max(sample.target_class);
+        combined.stable.add(&sample.stable);
+        combined.target.add(&sample.target);
         differences.extend(compare(&sample));
     }
-    differences.extend(compare(&together));
-    larger(differences)
+    differences.extend(compare(&combined));
+    largest(differences)
 }
 
-fn larger(differences: impl IntoIterator<Item = Difference>) -> Option<Difference> {
+/// Returns the difference with the most bad attempts.
+fn largest(differences: impl IntoIterator<Item = Difference>) -> Option<Difference> {
     differences.into_iter().max_by(|one, other| one.bad_attempts.total_cmp(&other.bad_attempts))
 }
 
-/// How the new version is worse than the others, if it is.
+/// Compares failures and then latencies; returns how the new version is worse, if it is.
 fn compare(sample: &RouteSample, limits: &Limits) -> Option<Difference> {
-    fails_more(sample, limits).or_else(|| is_slower(sample, limits))
+    failure_difference(sample, limits).or_else(|| slowness_difference(sample, limits))
 }
 
-/// Whether more of the new version's attempts fail.
-fn fails_more(RouteSample { stable, target, .. }: &RouteSample, limits: &Limits) -> Option<Difference> {
+/// Compares the failure ratios; returns a difference if the new version's is larger.
+fn failure_difference(
+    RouteSample { stable, target, .. }: &RouteSample,
+    limits: &Limits,
+) -> Option<Difference> {
     let failed =
         |sample: &VersionSample| Proportion { bad: sample.failures.into(), all: sample.attempts.into() };
     let excess = excess(failed(target), failed(stable), limits.failure_tolerance, limits);
     excess.map(|bad_attempts| Difference { verdict: Verdict::Failing, bad_attempts })
 }
 
-/// Whether more of the new version's attempts take longer than some latency that matters.
-fn is_slower(sample: &RouteSample, limits: &Limits) -> Option<Difference> {
+/// Compares the ratios of attempts above each relevant latency; returns the largest difference if the new version is slower.
+fn slowness_difference(sample: &RouteSample, limits: &Limits) -> Option<Difference> {
     let RouteSample { stable, target, target_class, .. } = sample;
     if u64::from(stable.attempts) < MIN_ATTEMPTS {
         return None;
     }
-    let above = |sample: &VersionSample, class| Proportion {
+    let from_class = |sample: &VersionSample, class| Proportion {
         bad: count_from(sample, class),
         all: sample.attempts.into(),
     };
-    let first = usize::from(*target_class).saturating_sub(CLASSES_BELOW_TARGET).max(1);
-    let slower =
-        |class| excess(above(target, class), above(stable, class), limits.slowness_tolerance, limits);
-    let differences = (first..LATENCY_CLASSES).filter_map(slower);
-    larger(differences.map(|bad_attempts| Difference { verdict: Verdict::Slow, bad_attempts }))
+    let lowest = usize::from(*target_class).saturating_sub(CLASSES_BELOW_TARGET).max(1);
+    let excess_from = |class| {
+        excess(from_class(target, class), from_class(stable, class), limits.slowness_tolerance, limits)
+    };
+    let differences = (lowest..LATENCY_CLASSES).filter_map(excess_from);
+    largest(differences.map(|bad_attempts| Difference { verdict: Verdict::Slow, bad_attempts }))
 }
 
-/// The attempts in a class of latency and those above it.
+/// Counts the attempts in a latency class and those above it.
 fn count_from(sample: &VersionSample, class: usize) -> u64 {
     sample.latencies[class..].iter().copied().map(u64::from).sum()
 }
 
-/// A part of attempts.
+/// A number of bad attempts out of all.
 #[derive(Debug, Clone, Copy)]
 struct Proportion {
     bad: u64,
@@ -286,14 +293,15 @@
     }
 }
 
-/// How many bad attempts a proportion has beyond another one, if it exceeds that by more than a tolerance and chance.
+/// Returns the number of bad attempts of `target` in excess of the ratio of `stable`, if the ratios differ by more than the
+/// tolerance and chance.
 fn excess(target: Proportion, stable: Proportion, tolerance: f64, limits: &Limits) -> Option<f64> {
     if target.all < MIN_ATTEMPTS || target.bad < limits.min_bad_attempts {
         return None;
     }
     let pooled = Proportion { bad: target.bad + stable.bad, all: target.all + stable.all }.ratio();
-    let spread = 1.0 / target.all as f64 + 1.0 / stable.all.max(1) as f64;
-    let deviation = (pooled * (1.0 - pooled).max(0.0) * spread).sqrt();
+    let inverse_sizes = 1.0 / target.all as f64 + 1.0 / stable.all.max(1) as f64;
+    let deviation = (pooled * (1.0 - pooled).max(0.0) * inverse_sizes).sqrt();
     let difference = target.ratio() - stable.ratio();
     (difference > tolerance + limits.deviations * deviation).then_some(difference * target.all as f64)
 }
--- a/crates/rollout/src/exposure.rs
+++ b/crates/rollout/src/exposure.rs
@@ -1,42 +1,43 @@
-//! How much of its requests a proxy may send to the new version.
+//! The limit of the requests that a proxy may send to the new version.
 //!
-//! While the new version is a canary, each proxy keeps to the permitted part of its own requests since its first permit. So all
-//! proxies together keep to that part of those since the order, whatever becomes of reports, permits, or the registry that gave
-//! them; a process that starts anew counts from nothing, which keeps the same bound. Counted from the order on, the canary would
-//! begin with many requests at once, of which the slow ones end together and make it look slow.
+//! While the new version is a canary, each proxy keeps its requests to the new version within the permitted fraction of all its
+//! requests since its first permit. So all proxies together stay within that fraction of the requests since the order, even if
+//! reports or permits are lost or another registry takes over. A restarted process counts from zero, which keeps the same bound.
+//! If requests counted from the order on, the canary would begin with a burst of requests, of which the slow ones end together and
+//! make the new version appear slow.
 
 use crate::report::RolloutPermit;
 use crate::Micros;
 
-/// What a proxy has sent in a rollout, and what it may.
+/// One proxy's requests in a rollout, and its permit.
 #[derive(Debug, Clone, Default)]
 pub struct Exposure {
     /// Requests that have reached the service since the first permit.
     reached: u64,
-    /// Requests that were given to the new version, and attempts at it beyond their first.
+    /// Requests that were sent to the new version, including repeated attempts there.
     exposed: u64,
     first_exposed_at: Option<Micros>,
     permit: Option<RolloutPermit>,
 }
 
 impl Exposure {
-    /// A request has reached the service, at whichever version.
+    /// Counts a request to the service, whichever version gets it.
     pub fn count_reached(&mut self) {
         self.reached += u64::from(self.permit.is_some());
     }
 
-    /// A request is given to the new version, or sent once more there.
+    /// Counts a request that is sent to the new version, or another attempt of it there.
     pub fn count_exposed(&mut self, now: Micros) {
         self.exposed += 1;
         self.first_exposed_at.get_or_insert(now);
     }
 
-    /// How long ago the new version was given its first request; 0 if it has been given none.
+    /// The time since the first request was sent to the new version; 0 if there was none.
     pub fn exposed_for(&self, now: Micros) -> Micros {
         self.first_exposed_at.map_or(0, |at| now.saturating_sub(at))
     }
 
-    /// A permit has come.
+    /// Stores a received permit, unless a newer one is known.
     pub fn permit(&mut self, permit: RolloutPermit) {
         let is_newer = self.permit.as_ref().is_none_or(|known| known.sent_at <= permit.sent_at);
         if is_newer {
@@ -44,13 +45,13 @@
         }
     }
 
-    /// The permit that is valid now.
+    /// The permit that is valid now, if any.
     pub fn valid_permit(&self, now: Micros) -> Option<&RolloutPermit> {
         self.permit.as_ref().filter(|permit| now < permit.sent_at.saturating_add(permit.duration))
     }
 
-    /// Whether the next request goes to the new version. `proxies` share the service's requests; `drawn` is a random number from
-    /// 0 to 1.
+    /// Whether the next request goes to the new version. `proxies` is the number of proxies that share the service's requests;
+    /// `drawn` is a random number from 0 to 1.
     pub fn takes_next(&self, now: Micros, proxies: usize, drawn: f64) -> bool {
         let Some(permit) = self.valid_permit(now) else { return false };
         let share = u64::from(permit.share_permille);
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,12 @@
-//! How a service's requests move to a new version of its servers.
+//! Progressive rollouts: a service's requests move in stages from the stable versions of its servers to a new one.
 //!
-//! Each proxy counts what both versions did with its requests and reports that to the registries. The registry that has the
-//! duty for the service decides, and permits proxies to send a part of their requests to the new version for a short time.
+//! Each proxy counts the outcomes of its requests for both sides and reports them to the registries. The registry that has the
+//! duty for the service decides, and permits proxies for short periods to send a part of their requests to the new version.
 //!
-//! - [`report`]: what proxies and registries send each other.
-//! - [`exposure`]: how much of the requests a proxy may send to the new version.
-//! - [`evidence`]: what all proxies have seen, and whether the new version is worse.
-//! - [`decider`]: when a rollout goes on, and when it is reverted.
+//! - [`report`]: the messages between proxies and registries.
+//! - [`exposure`]: the limit of the requests that a proxy may send to the new version.
+//! - [`evidence`]: the outcomes that all proxies have reported, and the comparison of the new version with the stable ones.
+//! - [`decider`]: when a rollout advances to its next stage, and when it is reverted.
 
 pub mod decider;
 pub mod evidence;
--- a/crates/rollout/tests/fleet/mod.rs
+++ b/crates/rollout/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time: proxies that send a service's requests to two versions, one registry that decides, and a store that
-//! commits. What proxies and registry send each other takes time and gets lost.
+//! A simulated fleet: proxies that send a service's requests to two versions, one registry that decides, and a store that commits.
+//! Messages between proxies and registry are delayed and may be lost.
 
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -12,68 +12,69 @@
 use pinerelay_rollout::Micros;
 
 pub const SECOND: Micros = 1_000_000;
-/// Time passes in such steps.
+/// The time step of the simulation.
 const STEP: Micros = 20_000;
-/// The operator's bounds that are played.
+/// The operator's bounds, which are the defaults of `RolloutBounds`.
 pub const EXPOSURE_SHARE: f64 = 0.1;
 pub const EXPOSURE_MARGIN: u64 = 50;
 pub const ROLLBACK: Micros = 5 * SECOND;
+/// The time limit for a rollback counts from this bad answer on.
 const BAD_ANSWERS: u64 = 50;
-/// When servers of the new version come, after the order, and how long their slow start is.
-const SERVERS_COME_AFTER: Micros = 600_000;
+/// When the servers of the new version become ready, after the order, and the duration of their slow start.
+const SERVERS_READY_AFTER: Micros = 600_000;
 const SLOW_START: Micros = 3 * SECOND;
 const SERVERS: usize = 100;
 /// The latency target of all routes.
 const LATENCY_TARGET: Micros = 800_000;
-/// How long a message takes at most, unless it is lost.
+/// The maximum delay of a message that is not lost.
 const MAX_DELAY: Micros = 60_000;
-/// How long a change takes to reach a proxy at most.
+/// The maximum delay until a changed item reaches a proxy.
 const MAX_UPDATE_DELAY: Micros = 400_000;
-/// How long the stores take to commit a stage.
+/// The delay until the stores commit a stage.
 const COMMIT_DELAY: Micros = 60_000;
 
-/// How the new version is bad.
+/// The defect of the new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Badness {
+pub enum Defect {
     None,
-    /// A part of its answers fail.
+    /// A fraction of its answers fail.
     Errors(f64),
-    /// A part takes so many times as long.
+    /// A fraction of its answers take a multiple of the normal latency.
     Slow(f64, f64),
-    /// A part of the answers of one route fail.
+    /// A fraction of its answers on one route fail.
     OneRoute(f64),
-    /// A part fails from a moment after its start on.
+    /// A fraction of its answers fail, from this time after its servers became ready on.
     Late(f64, Micros),
 }
 
-/// What is played.
+/// The parameters of a simulated rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
     pub seed: u64,
     pub proxies: usize,
     pub requests_per_second: f64,
     pub deadline: Micros,
-    pub badness: Badness,
-    /// The part of the answers of both versions that fail, from faults that have nothing to do with versions.
+    pub defect: Defect,
+    /// The fraction of the answers of both versions that fail because of unrelated faults.
     pub faults: f64,
-    /// The part of messages that are lost.
+    /// The fraction of messages that are lost.
     pub lost_messages: f64,
-    /// The registry's process is another one every so often, and knows nothing.
+    /// The interval at which another registry without state takes over.
     pub takeover_every: Option<Micros>,
-    /// A proxy starts anew every so often.
+    /// The interval at which a proxy restarts.
     pub restart_every: Option<Micros>,
-    /// From then on so many servers of the new version are left.
+    /// From this time on, only this number of servers of the new version are left.
     pub servers_left: Option<(Micros, usize)>,
 }
 
 impl Plan {
-    pub fn new(seed: u64, badness: Badness) -> Plan {
+    pub fn new(seed: u64, defect: Defect) -> Plan {
         Plan {
             seed,
             proxies: 85,
             requests_per_second: 1_200.0,
             deadline: 15 * SECOND,
-            badness,
+            defect,
             faults: 0.01,
             lost_messages: 0.0,
             takeover_every: None,
@@ -83,19 +84,19 @@
     }
 }
 
-/// What came of it.
+/// The result of a simulated rollout.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     pub stage: Option<Stage>,
-    /// When it was finished or reverted, after the order.
+    /// When the rollout was finished or reverted, after the order.
     pub ended_at: Option<Micros>,
-    /// Requests that reached the service up to the deadline, and those of them at the new version.
+    /// The number of requests up to the deadline, and of those sent to the new version.
     pub requests: u64,
     pub exposed: u64,
-    /// When the new version gave its 50th bad answer, and the last request was sent to it.
+    /// When the new version gave its 50th bad answer, and when the last request was sent to it.
     pub fiftieth_bad: Option<Micros>,
     pub last_exposed: Option<Micros>,
-    /// A request was open at another version, or was sent there, when it was finished.
+    /// The number of requests that were open at the stable version when the rollout was finished, or sent there later.
     pub open_at_finish: u64,
 }
 
@@ -104,7 +105,7 @@
         (self.requests as f64 * EXPOSURE_SHARE) as u64 + EXPOSURE_MARGIN
     }
 
-    /// How long after the 50th bad answer the last request was sent.
+    /// The time from the 50th bad answer to the last request at the new version.
     pub fn stopped_after(&self) -> Micros {
         match (self.fiftieth_bad, self.last_exposed) {
             (Some(bad), Some(last)) => last.saturating_sub(bad),
@@ -132,7 +133,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Ended {
+struct RequestEnd {
     at: std::cmp::Reverse<Micros>,
     proxy: usize,
     process: u64,
@@ -149,18 +150,18 @@
     exposure: Exposure,
     samples: BTreeMap<u64, RouteSample>,
     in_force: Option<RolloutInForce>,
-    /// The next item, and when it is here.
+    /// The item on its way to the proxy, and when it arrives.
     update: Option<(Micros, RolloutInForce)>,
-    open_elsewhere: u64,
+    open_at_stable: u64,
     next_report: Micros,
 }
 
-struct Play {
+struct Simulation {
     plan: Plan,
     random: Random,
     now: Micros,
     proxies: Vec<Proxy>,
-    ends: BinaryHeap<Ended>,
+    ends: BinaryHeap<RequestEnd>,
     item: RolloutInForce,
     commit: Option<(Micros, Stage)>,
     decider: Decider,
@@ -170,8 +171,8 @@
     outcome: Outcome,
 }
 
-/// Plays a rollout until some time after its deadline.
-pub fn play(plan: Plan) -> Outcome {
+/// Simulates a rollout until 6 s after its deadline.
+pub fn simulate(plan: Plan) -> Outcome {
     let rollout = Rollout {
         stage: Stage::Canary,
         target: "v2".into(),
@@ -182,7 +183,7 @@
     };
     let decider = Decider::new(0, 0, RolloutBounds::default(), &rollout);
     let item = RolloutInForce { revision: 2, rollout };
-    let mut play = Play {
+    let mut simulation = Simulation {
         random: Random(mix64(plan.seed)),
         now: 0,
         proxies: (0..plan.proxies).map(|_| Proxy::default()).collect(),
@@ -196,34 +197,34 @@
         outcome: Outcome::default(),
         plan,
     };
-    play.tell_proxies();
-    while play.now < plan.deadline + 6 * SECOND {
-        play.step();
+    simulation.send_updates();
+    while simulation.now < plan.deadline + 6 * SECOND {
+        simulation.step();
     }
-    play.outcome.stage = Some(play.item.rollout.stage);
-    play.outcome
+    simulation.outcome.stage = Some(simulation.item.rollout.stage);
+    simulation.outcome
 }
 
-impl Play {
+impl Simulation {
     fn step(&mut self) {
         self.now += STEP;
-        self.take_updates();
+        self.apply_updates();
         self.send_requests();
         self.end_requests();
-        self.disturb();
+        self.inject_faults();
         self.report();
         self.deliver();
         self.decide();
     }
 
-    fn tell_proxies(&mut self) {
+    fn send_updates(&mut self) {
         for proxy in &mut self.proxies {
             let at = self.now + self.random.below(MAX_UPDATE_DELAY);
             proxy.update = Some((at, self.item.clone()));
         }
     }
 
-    fn take_updates(&mut self) {
+    fn apply_updates(&mut self) {
         let now = self.now;
         for proxy in &mut self.proxies {
             if proxy.update.as_ref().is_some_and(|(at, _)| now >= *at) {
@@ -244,7 +245,7 @@
         let (now, proxies) = (self.now, self.proxies.len());
         let index = self.random.below(proxies as u64) as usize;
         let (route, drawn) = (1 + u64::from(self.random.unit() < 0.15), self.random.unit());
-        let has_servers = now >= SERVERS_COME_AFTER;
+        let has_servers = now >= SERVERS_READY_AFTER;
         let proxy = &mut self.proxies[index];
         let stage = proxy.in_force.as_ref().map(|item| item.rollout.stage);
         let is_target = match stage {
@@ -258,7 +259,7 @@
         if is_target {
             proxy.exposure.count_exposed(now);
         } else {
-            proxy.open_elsewhere += 1;
+            proxy.open_at_stable += 1;
         }
         self.count_request(is_target);
         self.serve(index, route, is_target);
@@ -276,29 +277,29 @@
         }
     }
 
-    /// What a server makes of a request.
+    /// Draws the latency and result of a request.
     fn serve(&mut self, proxy: usize, route: u64, is_target: bool) {
-        // As in a fleet of servers of different speed: 240 ms on average.
+        // Log-normal, as in a fleet of servers of different speed: 240 ms on average.
         let mut latency = 174.0 * (0.8 * self.random.normal()).exp() * 1e3;
         let mut has_failed = self.random.unit() < self.plan.faults;
         let (drawn, mut is_bad) = (self.random.unit(), false);
-        match self.plan.badness {
+        match self.plan.defect {
             _ if !is_target => {}
-            Badness::None => {}
-            Badness::Errors(share) => is_bad = drawn < share,
-            Badness::OneRoute(share) => is_bad = route == 2 && drawn < share,
-            Badness::Late(share, from) => is_bad = self.now >= SERVERS_COME_AFTER + from && drawn < share,
-            Badness::Slow(share, times) => {
+            Defect::None => {}
+            Defect::Errors(share) => is_bad = drawn < share,
+            Defect::OneRoute(share) => is_bad = route == 2 && drawn < share,
+            Defect::Late(share, from) => is_bad = self.now >= SERVERS_READY_AFTER + from && drawn < share,
+            Defect::Slow(share, factor) => {
                 is_bad = drawn < share;
-                latency *= if is_bad { times } else { 1.0 };
+                latency *= if is_bad { factor } else { 1.0 };
             }
         }
-        let is_slow = matches!(self.plan.badness, Badness::Slow(..));
+        let is_slow = matches!(self.plan.defect, Defect::Slow(..));
         has_failed |= is_bad && !is_slow;
         let process = self.proxies[proxy].process;
         let latency = (latency as Micros).min(5 * SECOND);
         let at = std::cmp::Reverse(self.now + latency);
-        self.ends.push(Ended { at, proxy, process, route, latency, is_target, has_failed, is_bad });
+        self.ends.push(RequestEnd { at, proxy, process, route, latency, is_target, has_failed, is_bad });
     }
 
     fn end_requests(&mut self) {
@@ -317,7 +318,7 @@
             sample.target_class = latency_class(LATENCY_TARGET) as u8;
             let side = if end.is_target { &mut sample.target } else { &mut sample.stable };
             side.count(end.latency, end.has_failed);
-            proxy.open_elsewhere -= u64::from(!end.is_target);
+            proxy.open_at_stable -= u64::from(!end.is_target);
         }
     }
 
@@ -325,7 +326,7 @@
         every.is_some_and(|every| self.now % every < STEP)
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         if self.is_due(self.plan.takeover_every) {
             self.decider =
                 Decider::new(self.now, self.now / 1_000, RolloutBounds::default(), &self.item.rollout);
@@ -359,7 +360,7 @@
                 sent_at: self.now,
                 in_force: item.revision,
                 exposed_for: proxy.exposure.exposed_for(self.now),
-                has_drained: item.rollout.stage == Stage::Cutover && proxy.open_elsewhere == 0,
+                has_drained: item.rollout.stage == Stage::Cutover && proxy.open_at_stable == 0,
                 routes: proxy.samples.values().copied().collect(),
             };
             let process = proxy.process;
@@ -370,11 +371,11 @@
         }
     }
 
-    fn surroundings(&self) -> Surroundings {
-        let is_warm = self.now >= SERVERS_COME_AFTER + SLOW_START;
+    fn fleet_state(&self) -> Surroundings {
+        let is_warm = self.now >= SERVERS_READY_AFTER + SLOW_START;
         let servers = match self.plan.servers_left {
             Some((from, left)) if self.now >= from => left,
-            _ if self.now >= SERVERS_COME_AFTER => SERVERS,
+            _ if self.now >= SERVERS_READY_AFTER => SERVERS,
             _ => 0,
         };
         let linked = self.proxies.iter().enumerate().map(|(index, proxy)| (index.to_string(), proxy.process));
@@ -390,13 +391,13 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let around = self.surroundings();
+        let fleet = self.fleet_state();
         let (due, later) = std::mem::take(&mut self.reports).into_iter().partition(|(at, ..)| now >= *at);
         self.reports = later;
         let due: Vec<(Micros, usize, u64, RolloutReport)> = due;
         for (_, proxy, process, report) in due {
             self.decider.report(now, &proxy.to_string(), process, &report);
-            let permit = self.decider.permit(now, &self.item.rollout, &around, &report);
+            let permit = self.decider.permit(now, &self.item.rollout, &fleet, &report);
             let at = now + self.random.below(MAX_DELAY);
             if let Some(permit) = permit.filter(|_| !self.is_lost()) {
                 self.permits.push((at, proxy, process, permit));
@@ -413,8 +414,8 @@
     }
 
     fn decide(&mut self) {
-        let around = self.surroundings();
-        let next = self.decider.tick(self.now, &self.item, &around);
+        let fleet = self.fleet_state();
+        let next = self.decider.tick(self.now, &self.item, &fleet);
         if self.commit.is_none() {
             self.commit = next.map(|stage| (self.now + COMMIT_DELAY, stage));
         }
@@ -423,12 +424,12 @@
         self.item.revision += 1;
         self.item.rollout.stage = stage;
         self.decider.stage_changed();
-        self.tell_proxies();
+        self.send_updates();
         if !stage.is_under_way() {
             self.outcome.ended_at = Some(self.now);
         }
         if stage == Stage::Finished {
-            self.outcome.open_at_finish = self.proxies.iter().map(|proxy| proxy.open_elsewhere).sum();
+            self.outcome.open_at_finish = self.proxies.iter().map(|proxy| proxy.open_at_stable).sum();
         }
     }
 }
--- a/crates/rollout/tests/fleet_plays.rs
+++ b/crates/rollout/tests/fleet_plays.rs
@@ -1,13 +1,14 @@
-//! Rollouts of good and bad versions in a simulated fleet.
+//! Rollouts of good and bad versions in a simulated fleet: good ones finish by the deadline, bad ones are reverted within the
+//! operator's bounds.
 
 use googletest::prelude::*;
 use pinerelay_config_state::rollout::Stage;
 
 mod fleet;
 
-use fleet::{play, Badness, Outcome, Plan, ROLLBACK, SECOND};
+use fleet::{simulate, Defect, Outcome, Plan, ROLLBACK, SECOND};
 
-/// Seeds of each kind.
+/// The number of seeds for each case.
 const SEEDS: u64 = 6;
 
 fn check_bounds(plan: &Plan, outcome: &Outcome) {
@@ -26,27 +27,27 @@
 fn a_good_version_is_finished_by_its_deadline() {
     for seed in 0..SEEDS {
         for faults in [0.0, 0.05] {
-            let plan = Plan { faults, ..Plan::new(seed, Badness::None) };
-            check_finished(&plan, &play(plan));
+            let plan = Plan { faults, ..Plan::new(seed, Defect::None) };
+            check_finished(&plan, &simulate(plan));
         }
     }
 }
 
 #[gtest]
 fn a_bad_version_is_reverted_within_its_exposure() {
-    let ways = [
-        Badness::Errors(0.5),
-        Badness::Errors(0.2),
-        Badness::Slow(0.38, 8.0),
-        Badness::Slow(0.38, 4.0),
-        Badness::Slow(0.6, 3.0),
-        Badness::OneRoute(0.5),
-        Badness::Late(0.4, 3 * SECOND),
+    let defects = [
+        Defect::Errors(0.5),
+        Defect::Errors(0.2),
+        Defect::Slow(0.38, 8.0),
+        Defect::Slow(0.38, 4.0),
+        Defect::Slow(0.6, 3.0),
+        Defect::OneRoute(0.5),
+        Defect::Late(0.4, 3 * SECOND),
     ];
     for seed in 0..SEEDS {
-        for badness in ways {
-            let plan = Plan::new(seed, badness);
-            check_bounds(&plan, &play(plan));
+        for defect in defects {
+            let plan = Plan::new(seed, defect);
+            check_bounds(&plan, &simulate(plan));
         }
     }
 }
@@ -54,76 +55,78 @@
 #[gtest]
 fn takeovers_restarts_and_lost_messages_break_no_bound() {
     for seed in 0..SEEDS {
-        for badness in [Badness::Errors(0.4), Badness::Slow(0.5, 8.0)] {
+        for defect in [Defect::Errors(0.4), Defect::Slow(0.5, 8.0)] {
             let plan = Plan {
                 lost_messages: 0.2,
                 takeover_every: Some(1_700_000),
                 restart_every: Some(130_000),
-                ..Plan::new(seed, badness)
+                ..Plan::new(seed, defect)
             };
-            check_bounds(&plan, &play(plan));
+            check_bounds(&plan, &simulate(plan));
         }
     }
 }
 
 #[gtest]
-fn a_version_that_nobody_can_judge_in_time_is_reverted() {
-    let plan = Plan { requests_per_second: 2.0, proxies: 11, ..Plan::new(1, Badness::None) };
-    let outcome = play(plan);
+fn a_version_without_sufficient_evidence_by_the_deadline_is_reverted() {
+    let plan = Plan { requests_per_second: 2.0, proxies: 11, ..Plan::new(1, Defect::None) };
+    let outcome = simulate(plan);
     expect_that!(outcome.stage, some(eq(Stage::Reverted)));
 }
 
 #[gtest]
-fn a_version_whose_servers_go_before_it_has_finished_is_reverted() {
+fn a_version_that_loses_most_servers_before_it_is_finished_is_reverted() {
     for seconds in [5, 9, 11] {
-        let plan = Plan { servers_left: Some((seconds * SECOND, 20)), ..Plan::new(1, Badness::None) };
-        expect_that!(play(plan).stage, some(eq(Stage::Reverted)), "after {seconds} s");
+        let plan = Plan { servers_left: Some((seconds * SECOND, 20)), ..Plan::new(1, Defect::None) };
+        expect_that!(simulate(plan).stage, some(eq(Stage::Reverted)), "after {seconds} s");
     }
 }
 
-/// Another registry had the duty every few seconds, and each began the canary's time anew: no good version was ever finished.
+/// Guards against a takeover that restarts the canary's minimum duration: with a takeover every few seconds, no good version was
+/// ever finished.
 #[gtest]
 fn takeovers_do_not_keep_a_good_version_from_being_finished() {
     for seed in 0..SEEDS {
         let plan =
-            Plan { takeover_every: Some(3_700_000), lost_messages: 0.1, ..Plan::new(seed, Badness::None) };
-        let outcome = play(plan);
+            Plan { takeover_every: Some(3_700_000), lost_messages: 0.1, ..Plan::new(seed, Defect::None) };
+        let outcome = simulate(plan);
         expect_that!(outcome.stage, some(eq(Stage::Finished)), "{plan:?} {outcome:?}");
     }
 }
 
-/// The canary began with all that it might have had since the order at once. The slow ones of these requests ended together, two
-/// seconds later, and five good versions of 300 were reverted as slow.
+/// Guards against a canary that begins with a burst of all requests permitted since the order. The slow ones of the burst ended
+/// together two seconds later, and five of 300 good versions were reverted as slow.
 #[gtest]
 fn a_canary_does_not_begin_with_many_requests_at_once() {
     for seed in [28, 50, 66, 216, 256] {
-        let plan = Plan::new(seed, Badness::None);
-        check_finished(&plan, &play(plan));
+        let plan = Plan::new(seed, Defect::None);
+        check_finished(&plan, &simulate(plan));
     }
 }
 
-/// Versions with 38 of 100 answers four times slower stayed just below the alarm as a canary, and the ramp went on: 12 of 300 seeds
-/// had all requests in the end, three times what a bad version may get.
+/// Guards against a bad version that stays just below the limits of a bad verdict as a canary and then advances through the ramp.
+/// With 38 of 100 answers four times slower, the versions of 12 of 300 seeds got all requests in the end, three times what a bad
+/// version may get.
 #[gtest]
-fn a_version_that_is_not_clearly_good_is_not_taken_for_good() {
+fn a_version_that_is_not_clearly_healthy_is_reverted() {
     for seed in [26, 43, 64, 84, 141, 146, 147, 167, 178, 239, 258, 264] {
-        let plan = Plan::new(seed, Badness::Slow(0.38, 4.0));
-        check_bounds(&plan, &play(plan));
+        let plan = Plan::new(seed, Defect::Slow(0.38, 4.0));
+        check_bounds(&plan, &simulate(plan));
     }
 }
 
-/// Fifty bad answers are as many of a service with few requests, where the time after them brings little more to judge by.
+/// The time limit starts at fifty bad answers for services with few requests too, but less evidence accrues during it.
 #[gtest]
-fn a_service_with_few_requests_stops_a_bad_version_in_time_as_well() {
+fn a_bad_version_of_a_service_with_few_requests_is_stopped_in_time() {
     for seed in 0..SEEDS {
-        for badness in [Badness::Slow(0.38, 4.0), Badness::Errors(0.2)] {
+        for defect in [Defect::Slow(0.38, 4.0), Defect::Errors(0.2)] {
             let plan = Plan {
                 requests_per_second: 200.0,
                 proxies: 20,
                 deadline: 60 * SECOND,
-                ..Plan::new(seed, badness)
+                ..Plan::new(seed, defect)
             };
-            check_bounds(&plan, &play(plan));
+            check_bounds(&plan, &simulate(plan));
         }
     }
 }
