--- a/crates/admission/src/lease.rs
+++ b/crates/admission/src/lease.rs
@@ -28,7 +28,7 @@
 
 impl LeaseRequest {
     /// Whether the proxy is spending its share, because its lease requests have failed.
-    pub fn is_on_share(&self) -> bool {
+    pub fn is_spending_share(&self) -> bool {
         self.share_left > 0.0 || self.share_spent_lately > 0.0
     }
 
--- a/crates/admission/src/lease_cache/tests.rs
+++ b/crates/admission/src/lease_cache/tests.rs
@@ -67,7 +67,7 @@
             allocator = QuotaAllocator::new(down_until, QUOTA);
         }
         if names.iter().all(|proxy| allocator.knows(proxy)) {
-            allocator.knows_all();
+            allocator.drop_unknown_shares();
         }
         let is_missing = |proxy: usize| now > last_contact[proxy] + 650_000;
         let has_unknown_missing =
--- a/crates/admission/src/quota_allocator.rs
+++ b/crates/admission/src/quota_allocator.rs
@@ -301,7 +301,7 @@
     }
 
     /// Drops the reservation for unknown proxies, because all proxies are known.
-    pub fn knows_all(&mut self) {
+    pub fn drop_unknown_shares(&mut self) {
         self.unknown_shares = 0.0;
     }
 
--- a/crates/admission/src/quota_allocator/tests.rs
+++ b/crates/admission/src/quota_allocator/tests.rs
@@ -49,7 +49,7 @@
 #[gtest]
 fn shares_follow_demand_and_never_exceed_the_rate_in_sum() {
     let mut allocator = QuotaAllocator::new(0, Quota { rate: 100.0, burst: 100.0 });
-    allocator.knows_all();
+    allocator.drop_unknown_shares();
     let mut random = 4;
     let mut held_shares = [0.0; 10];
     for step in 1..2_000_u64 {
@@ -75,7 +75,7 @@
 #[gtest]
 fn the_share_of_a_missing_proxy_is_not_granted_to_others() {
     let mut allocator = QuotaAllocator::new(0, Quota { rate: 100.0, burst: 10.0 });
-    allocator.knows_all();
+    allocator.drop_unknown_shares();
     let mut now = 0;
     let mut share = 0.0;
     for _ in 0..400 {
--- a/crates/proxy/src/subscriber/leases.rs
+++ b/crates/proxy/src/subscriber/leases.rs
@@ -22,7 +22,7 @@
         let mut by_connection: BTreeMap<ConnectionId, Vec<LeaseRequest>> = BTreeMap::new();
         for request in requests {
             let owner = self.owner_of(&request.tenant, &alive);
-            if request.is_on_share() {
+            if request.is_spending_share() {
                 // Another registry may have the duty than the one that is asked: what was spent of a share is reported to all.
                 let report = LeaseRequest { wanted: 0.0, returned: 0.0, ..request.clone() };
                 for other in self.registries.keys().filter(|other| Some(**other) != owner) {
--- a/crates/registry/src/registry/quota_duty.rs
+++ b/crates/registry/src/registry/quota_duty.rs
@@ -163,7 +163,7 @@
             if known.is_some_and(|known| known >= nodes.len())
                 && nodes.iter().all(|node| allocator.knows(node))
             {
-                allocator.knows_all();
+                allocator.drop_unknown_shares();
             }
         }
     }
--- a/crates/registry/src/registry/rollout_duty.rs
+++ b/crates/registry/src/registry/rollout_duty.rs
@@ -13,7 +13,7 @@
 use pinerelay_config_state::Kind;
 use pinerelay_peer_link::link::ConnectionId;
 use pinerelay_peer_link::message::{CallReply, ForwardedCall, Hello, Metric, PeerMessage, Role};
-use pinerelay_rollout::decider::{Decider, Surroundings, REPORT_INTERVAL};
+use pinerelay_rollout::decider::{Decider, FleetState, REPORT_INTERVAL};
 use pinerelay_rollout::report::{RolloutPermit, RolloutReport};
 
 use super::call_forwarding::Caller;
@@ -38,7 +38,7 @@
 struct FollowedRollout {
     decider: Decider,
     revision: u64,
-    surroundings: Surroundings,
+    surroundings: FleetState,
     target_servers: BTreeMap<String, TargetServer>,
 }
 
@@ -162,7 +162,7 @@
         let new = || FollowedRollout {
             decider: Decider::new(now, time_of_day_ms, bounds, rollout),
             revision: 0,
-            surroundings: Surroundings::default(),
+            surroundings: FleetState::default(),
             target_servers: BTreeMap::new(),
         };
         let followed = self.rollout_duty.followed.entry(service.into()).or_insert_with(new);
@@ -172,7 +172,7 @@
         followed
     }
 
-    fn surroundings(&mut self, now: Micros, service: &str, rollout: &Rollout) -> Surroundings {
+    fn surroundings(&mut self, now: Micros, service: &str, rollout: &Rollout) -> FleetState {
         let ready = self.servers().filter(|(_, server)| server.service == service);
         let ready: Vec<(String, Server)> = ready
             .filter(|(_, server)| server.state == ServerState::Ready)
@@ -180,11 +180,11 @@
             .collect();
         let linked = self.peers.values().filter(|hello| hello.role == Role::Proxy);
         let linked_proxies = linked.map(|hello| (hello.node.clone(), hello.process_id)).collect();
-        let mut surroundings = Surroundings {
+        let mut surroundings = FleetState {
             linked_proxies,
             missing_proxies: self.proxies.missing.clone(),
             total_proxies: self.total_proxies(),
-            ..Surroundings::default()
+            ..FleetState::default()
         };
         let Some(followed) = self.rollout_duty.followed.get_mut(service) else { return surroundings };
         followed.target_servers.retain(|id, _| ready.iter().any(|(other, _)| other == id));
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -70,7 +70,7 @@
 
 /// The servers and proxies, as the registry sees them, for the decisions on one service.
 #[derive(Debug, Clone, Default)]
-pub struct Surroundings {
+pub struct FleetState {
     /// The number of ready servers of the new version.
     pub target_servers: usize,
     /// The number of these servers that are past slow start.
@@ -170,7 +170,7 @@
     }
 
     /// Updates the verdict as time passes, and returns the stage to propose, if the rollout should advance or be reverted now.
-    pub fn tick(&mut self, now: Micros, item: &RolloutInForce, fleet: &Surroundings) -> Option<Stage> {
+    pub fn tick(&mut self, now: Micros, item: &RolloutInForce, fleet: &FleetState) -> Option<Stage> {
         self.evidence.tick(now);
         if fleet.target_servers > 0 {
             self.target_since.get_or_insert(now);
@@ -214,7 +214,7 @@
     }
 
     /// The stage that should follow now; `None` to stay in the current one.
-    fn next_stage(&mut self, now: Micros, item: &RolloutInForce, fleet: &Surroundings) -> Option<Stage> {
+    fn next_stage(&mut self, now: Micros, item: &RolloutInForce, fleet: &FleetState) -> Option<Stage> {
         let rollout = &item.rollout;
         if !rollout.stage.is_under_way() {
             return None;
@@ -231,7 +231,7 @@
     }
 
     /// Whether the new version has lost too many of its servers.
-    fn has_lost_servers(&self, fleet: &Surroundings) -> bool {
+    fn has_lost_servers(&self, fleet: &FleetState) -> bool {
         (fleet.target_servers as f64) < self.most_target_servers as f64 * MIN_SERVERS_FRACTION
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Advances the ramp, and returns the stage that should follow it. A registry that takes over the duty restarts the ramp.
-    fn ramp(&mut self, now: Micros, rollout: &Rollout, fleet: &Surroundings) -> Option<Stage> {
+    fn ramp(&mut self, now: Micros, rollout: &Rollout, fleet: &FleetState) -> Option<Stage> {
         let fraction = RAMP_STEP_FRACTION * self.bounds.exposure_share;
         let duration = fraction_of_deadline(rollout, fraction).max(MIN_RAMP_STEP);
         let (step, since) = *self.ramp_step.get_or_insert((0, now));
@@ -271,7 +271,7 @@
     }
 
     /// Whether no proxy sends requests to the stable versions any more, and none has one open there.
-    fn all_have_drained(&self, now: Micros, item: &RolloutInForce, fleet: &Surroundings) -> bool {
+    fn all_have_drained(&self, now: Micros, item: &RolloutInForce, fleet: &FleetState) -> bool {
         let has_drained = |state: &ProxyState| state.in_force >= item.revision && state.has_drained;
         let is_done = |(node, process_id): (&String, &u64)| {
             let state = self.proxies.get(node).filter(|state| state.process_id == *process_id);
@@ -292,7 +292,7 @@
         &self,
         now: Micros,
         rollout: &Rollout,
-        fleet: &Surroundings,
+        fleet: &FleetState,
         report: &RolloutReport,
     ) -> Option<RolloutPermit> {
         if self.verdict.is_bad() || !self.is_warm(now, fleet) {
@@ -325,7 +325,7 @@
     }
 
     /// Whether enough servers of the new version are past slow start, during which they would appear slow.
-    fn is_warm(&self, now: Micros, fleet: &Surroundings) -> bool {
+    fn is_warm(&self, now: Micros, fleet: &FleetState) -> bool {
         let expected = fleet.target_servers.max(fleet.stable_servers) as f64;
         let has_waited = self.target_since.is_some_and(|since| now >= since + WARM_UP_TIMEOUT);
         let are_most_warm = fleet.warm_target_servers as f64 >= expected * WARM_FRACTION;
--- a/crates/rollout/tests/fleet/mod.rs
+++ b/crates/rollout/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use pinerelay_config_state::hash::mix64;
 use pinerelay_config_state::rollout::{Rollout, Stage};
 use pinerelay_config_state::routing_table::RolloutInForce;
-use pinerelay_rollout::decider::{Decider, RolloutBounds, Surroundings, REPORT_INTERVAL};
+use pinerelay_rollout::decider::{Decider, FleetState, RolloutBounds, REPORT_INTERVAL};
 use pinerelay_rollout::exposure::Exposure;
 use pinerelay_rollout::report::{latency_class, RolloutPermit, RolloutReport, RouteSample};
 use pinerelay_rollout::Micros;
@@ -371,7 +371,7 @@
         }
     }
 
-    fn fleet_state(&self) -> Surroundings {
+    fn fleet_state(&self) -> FleetState {
         let is_warm = self.now >= SERVERS_READY_AFTER + SLOW_START;
         let servers = match self.plan.servers_left {
             Some((from, left)) if self.now >= from => left,
@@ -379,7 +379,7 @@
             _ => 0,
         };
         let linked = self.proxies.iter().enumerate().map(|(index, proxy)| (index.to_string(), proxy.process));
-        Surroundings {
+        FleetState {
             target_servers: servers,
             warm_target_servers: if is_warm { servers } else { 0 },
             stable_servers: SERVERS,
