--- a/crates/admission/src/duty.rs
+++ b/crates/admission/src/duty.rs
@@ -239,6 +239,7 @@
         members.contains(name) && (!self.is_joint(now) || previous.contains(name))
     }
 
+    /// The voters of this epoch and the previous one, without this node.
     fn other_voters(&self) -> BTreeSet<&String> {
         let voters = self.voters.members.iter().chain(&self.voters.previous);
         voters.filter(|name| **name != self.own_name).collect()
@@ -297,6 +298,7 @@
         released
     }
 
+    /// Sends a new claim to the other voters, and promises the slices itself as far as it can.
     fn claim(&mut self, now: Micros, slices: u32, actions: &mut Vec<DutyAction>) {
         self.last_claim += 1;
         let claim = self.last_claim;
@@ -309,7 +311,7 @@
         self.on_promise(now, &self.own_name.clone(), claim, promised, actions);
     }
 
-    /// Releases all slices and stops claiming, at a planned shutdown.
+    /// Releases all slices at a planned shutdown, and schedules no further claim.
     pub fn release_all(&mut self, actions: &mut Vec<DutyAction>) {
         self.leases = vec![SliceLease::default(); SLICE_COUNT];
         self.renew_at = Micros::MAX;
@@ -341,6 +343,7 @@
         }
     }
 
+    /// Sends a message to all other voters.
     fn broadcast(&self, message: DutyMessage, actions: &mut Vec<DutyAction>) {
         let voters = self.other_voters().into_iter();
         actions.extend(voters.map(|voter| DutyAction::Send(voter.clone(), message.clone())));
@@ -378,12 +381,14 @@
         promised
     }
 
+    /// Drops the promises of released slices, except those for claims after the release.
     fn on_release(&mut self, from: &str, claim: u64, slices: u32) {
         self.promises.retain(|slice, promise| {
             promise.holder != from || promise.claim > claim || slices & (1 << *slice) == 0
         });
     }
 
+    /// Records a voter's promises, and grants or extends the leases that a majority supports.
     fn on_promise(
         &mut self,
         now: Micros,
--- a/crates/admission/src/lease_cache/tenant.rs
+++ b/crates/admission/src/lease_cache/tenant.rs
@@ -235,6 +235,7 @@
         self.failing_since.is_some() && (self.has_new_arrival || is_unreported || now >= self.probe_at)
     }
 
+    /// Schedules the next lease request without a client's request, with a pseudorandom part seeded by the time.
     fn schedule_probe(&mut self, now: Micros) {
         let mut seed = now;
         let spread = lot(&mut seed) * PROBE_SPREAD;
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -77,6 +77,7 @@
         now / (self.bounds.window.as_micros() as u64 / BUCKETS).max(1)
     }
 
+    /// Returns the current bucket of a service, cleared if it was last used for an earlier span.
     fn bucket(&mut self, now: Micros, service: &str) -> &mut Bucket {
         let span = self.span(now);
         if !self.services.contains_key(service) {
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -235,12 +235,14 @@
         (fleet.target_servers as f64) < self.most_target_servers as f64 * MIN_SERVERS_FRACTION
     }
 
+    /// Whether the new version is healthy and has been a canary for the minimum duration.
     fn has_been_healthy(&self, now: Micros, rollout: &Rollout) -> bool {
         let needed = fraction_of_deadline(rollout, CANARY_FRACTION);
         let is_long = self.exposed_since.is_some_and(|since| now >= since.saturating_add(needed));
         is_long && self.verdict == Verdict::Healthy
     }
 
+    /// Whether it is too late to decide for the new version.
     fn is_out_of_time(&self, now: Micros, rollout: &Rollout) -> bool {
         self.age(now) >= fraction_of_deadline(rollout, DECISION_FRACTION)
     }
@@ -319,6 +321,7 @@
         (self.bounds.exposure_share * CANARY_EXPOSURE_FRACTION * 1_000.0) as u16
     }
 
+    /// The duration of a permit, within the operator's time limit for a rollback.
     fn permit_duration(&self) -> Micros {
         let rollback_fraction = (self.bounds.rollback as f64 * PERMIT_FRACTION) as Micros;
         rollback_fraction.min(MAX_PERMIT_DURATION)
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -130,6 +130,7 @@
         self.last_reports.insert(node.into(), last);
     }
 
+    /// Adds new counts to the totals of their route.
     fn add(&mut self, change: &RouteSample) {
         let is_known = self.totals.contains_key(&change.route) || self.totals.len() < MAX_ROUTES;
         let route = if is_known { change.route } else { OTHER_ROUTES };
