--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,7 +1,8 @@
-//! The acceptor: what a store has promised, accepted and committed (Lamport, "Paxos Made Simple", section 2.2).
+//! The acceptor: the ballots and batches that a store has promised, accepted and committed (Lamport, "Paxos Made Simple",
+//! section 2.2).
 //!
-//! Invariant P1a of the paper: an acceptor accepts a proposal under a ballot only if it has not promised a higher one, in this
-//! process or an earlier one on the same disk.
+//! Invariant P1a of the paper: an acceptor accepts a proposal under a ballot only if it has not promised a higher one, in
+//! this process or an earlier one on the same disk.
 
 use pinerelay_config_state::validation::IndexedItems;
 use pinerelay_config_state::{Item, ItemSet};
@@ -9,20 +10,20 @@
 use crate::message::{Ballot, Batch, Message, Pending};
 use crate::persistent_state::{PersistentState, StateChange};
 
-/// Rounds by which the ceiling of promises rises at once. Promises up to the ceiling on disk outlive the process without a
-/// sync of their own.
+/// Number of rounds by which one write raises the promise ceiling. A promise up to the ceiling on disk survives a restart
+/// without a sync of its own.
 const CEILING_STEP: u64 = 1_000;
 
-/// An acceptor.
+/// The acceptor of one store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// `None` until the disk holds it; nothing is promised before.
+    /// The incarnation of the disk; `None` until it is durable. The acceptor promises and accepts nothing before that.
     incarnation: Option<u64>,
-    /// The disk says that it has held all that was committed.
+    /// Whether the disk records that it has held all committed items at some point.
     is_complete: bool,
-    /// The ceiling of promises that is on disk.
+    /// The promise ceiling that is on disk.
     durable_ceiling: u64,
-    /// The ceiling once the write under way is durable.
+    /// The promise ceiling once the writes in progress are durable.
     requested_ceiling: u64,
     promised: Ballot,
     accepted: Ballot,
@@ -32,45 +33,45 @@
 
 /// The response to a phase 1 request.
 pub enum PrepareResponse {
-    /// This is the reply.
+    /// Reply with this message at once.
     Reply(Message),
-    /// Once this is durable, [`Acceptor::promise`] gives the reply.
+    /// Write this change; once it is durable, reply with the result of [`Acceptor::promise`].
     AfterWrite(StateChange),
-    /// There is none: the disk does not hold its incarnation yet.
+    /// Do not reply: the incarnation is not durable yet.
     None,
 }
 
 /// The response to a phase 2 request.
 pub enum AcceptResponse {
-    /// This is the reply.
+    /// Reply with this message at once.
     Reply(Message),
-    /// [`Message::Accepted`] is sent once `change` is durable.
+    /// Write `change`; once it is durable, reply with [`Message::Accepted`].
     AfterWrite {
-        /// Committed items that came with the request and are new here.
+        /// Committed items that came with the request and are new to this store.
         learned: Vec<Item>,
-        /// What has to be durable first.
+        /// The change that has to be durable before the reply.
         change: StateChange,
     },
-    /// There is none: the disk does not hold its incarnation yet.
+    /// Do not reply: the incarnation is not durable yet.
     None,
 }
 
-/// Committed items that are new here, and the change that writes them.
+/// Committed items that are new to this store, and the change that persists them.
 #[must_use = "the change has to be written"]
 pub struct Learned {
-    /// The items.
+    /// The new items.
     pub items: Vec<Item>,
-    /// What is to be written.
+    /// The change to write.
     pub change: StateChange,
 }
 
 impl Acceptor {
-    /// An acceptor with what its disk holds.
+    /// Creates an acceptor from the state on its disk.
     pub fn new(state: PersistentState) -> Acceptor {
         let mut items = ItemSet::default();
         items.merge_all(state.items);
         // An earlier process may have promised any ballot up to the ceiling. Accepting a lower one would break that promise,
-        // and two updates could be chosen without seeing each other.
+        // and two updates could be chosen without seeing each other. So all ballots up to the ceiling count as promised.
         let ceiling = Ballot::new(state.promise_ceiling, u64::MAX);
         let promised = if state.promise_ceiling > 0 { state.accepted.max(ceiling) } else { state.accepted };
         Acceptor {
@@ -85,19 +86,19 @@
         }
     }
 
-    /// Notes that a change is durable.
-    pub fn written(&mut self, change: &StateChange) {
+    /// Records that a change is durable.
+    pub fn record_durable(&mut self, change: &StateChange) {
         self.incarnation = change.incarnation.or(self.incarnation);
         self.is_complete |= change.is_complete;
         self.durable_ceiling = self.durable_ceiling.max(change.promise_ceiling.unwrap_or(0));
     }
 
-    /// The incarnation of its disk; `None` as long as it may not promise anything.
+    /// The incarnation of its disk; `None` until it is durable, and nothing may be promised.
     pub fn incarnation(&self) -> Option<u64> {
         self.incarnation
     }
 
-    /// Whether its disk has held all that was committed, at some moment.
+    /// Whether its disk has held all committed items at some point.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
@@ -107,7 +108,7 @@
         self.committed.items()
     }
 
-    /// The committed items with the index of their references.
+    /// The committed items, indexed by their references.
     pub fn committed(&self) -> &IndexedItems {
         &self.committed
     }
@@ -117,22 +118,22 @@
         self.promised.max(self.accepted)
     }
 
-    /// Whether it holds a batch that it does not know to be committed.
+    /// Whether it has accepted a batch that it does not know to be committed.
     pub fn has_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// The change that raises the ceiling of promises, if the durable one is near.
+    /// Returns the change that raises the promise ceiling if less than half of `CEILING_STEP` is left up to it.
     pub fn raise_ceiling(&mut self) -> Option<StateChange> {
         let round = self.highest_ballot().round;
-        let is_near = round + CEILING_STEP / 2 > self.requested_ceiling;
-        is_near.then(|| {
+        let is_almost_exhausted = round + CEILING_STEP / 2 > self.requested_ceiling;
+        is_almost_exhausted.then(|| {
             self.requested_ceiling = round + CEILING_STEP;
             StateChange { promise_ceiling: Some(self.requested_ceiling), ..StateChange::default() }
         })
     }
 
-    /// Phase 1: promises a ballot that is higher than all before.
+    /// Phase 1: promises a ballot that is higher than all promised before, otherwise rejects it.
     pub fn prepare(&mut self, ballot: Ballot, range_digests: &[u64]) -> PrepareResponse {
         if self.incarnation.is_none() {
             return PrepareResponse::None;
@@ -149,7 +150,7 @@
         PrepareResponse::AfterWrite(StateChange { promise_ceiling, ..StateChange::default() })
     }
 
-    /// The promise for a ballot, unless a higher one has been promised meanwhile.
+    /// The promise for a ballot, or a rejection if a higher one has been promised meanwhile.
     pub fn promise(&self, ballot: Ballot, range_digests: &[u64]) -> Message {
         match self.incarnation {
             Some(incarnation) if ballot == self.promised => {
@@ -184,10 +185,11 @@
         AcceptResponse::AfterWrite { learned, change }
     }
 
-    /// Takes over a batch that was chosen under a ballot.
+    /// Commits the items of a batch that was chosen under a ballot.
     pub fn commit(&mut self, ballot: Ballot, items: Vec<Item>) -> Learned {
         let mut learned = self.learn(items);
-        // Whoever accepted this ballot's batch holds what was chosen under lower ones.
+        // The acceptors that accepted this ballot's batch hold everything that was chosen under lower ballots, so a batch
+        // that is pending here under a lower ballot need not be kept.
         if ballot >= self.accepted {
             self.accepted = ballot;
             self.promised = self.promised.max(ballot);
@@ -198,7 +200,7 @@
         learned
     }
 
-    /// Takes over committed items from another store.
+    /// Merges committed items of another store.
     pub fn learn(&mut self, items: Vec<Item>) -> Learned {
         let items = self.committed.merge_all(items);
         let change = StateChange { committed: items.clone(), ..StateChange::default() };
--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -1,74 +1,77 @@
-//! Which stores are there, by their heartbeats, and which of them should vote.
+//! The failure detector: which stores are alive, judged by their heartbeats, and which of them should vote.
 
 use std::collections::BTreeMap;
 
 use crate::message::{Member, StoreName};
 use crate::Micros;
 
-/// A member that has been silent for so long is replaced, if another store is there that does not vote.
+/// A member counts as failed after a silence of this length, and is replaced if a non-voting store is alive.
 const FAILURE_TIMEOUT: Micros = 2_500_000;
-/// A store that has been silent for so long has not been there without interruption.
-const INTERRUPTION: Micros = 1_200_000;
-/// A replacement must have been there for so long, so that it stays.
+/// A silence of this length interrupts the time for which a store counts as continuously alive.
+const INTERRUPTION_TIMEOUT: Micros = 1_200_000;
+/// A spare store must have been continuously alive for this long before it may vote, so that it is likely to stay.
 const STABLE_AFTER: Micros = 1_000_000;
-/// Its replica must have been equal within so long.
-const EQUAL_WITHIN: Micros = 1_200_000;
-/// A store that has been there for longer is taken even if its replica differs: what it lacks comes with the change.
-const REPLICA_PATIENCE: Micros = 1_500_000;
-/// Where fewer stores are there than members are missing, one that has been there for so long joins all the same.
+/// A store whose replica was equal to the one here within this time counts as up to date.
+const EQUAL_REPLICA_MAX_AGE: Micros = 1_200_000;
+/// A store that has been alive for this long may vote even if its replica differs: the change of membership delivers the
+/// committed items that it lacks.
+const UNEQUAL_REPLICA_WAIT: Micros = 1_500_000;
+/// If there are fewer spare stores than members to add, a spare store that has been alive for this long joins nevertheless.
 const PARTIAL_GROWTH_AFTER: Micros = 5_000_000;
-/// A gap between two ticks after which the process has stalled: what it did not hear meanwhile tells nothing.
-const STALL: Micros = 700_000;
+/// A longer gap between two ticks means that this process has stalled: heartbeats that it did not receive meanwhile do not
+/// show that a peer has failed.
+const STALL_THRESHOLD: Micros = 700_000;
 
-/// What is known of another store.
+/// What this store knows about another one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Peer {
-    /// The incarnation of its disk; `None` until the disk holds it.
+    /// The incarnation of its disk; `None` until it is durable.
     incarnation: Option<u64>,
-    /// Since when it has been there without interruption.
-    since: Micros,
+    /// When its current time of being alive without interruption began.
+    alive_since: Micros,
     last_heartbeat: Micros,
-    /// When its replica was last equal to the one here.
+    /// When its replica was last known to equal the one here.
     last_equal: Option<Micros>,
 }
 
 impl Peer {
-    /// Whether it is there and its replica is as good as it gets.
+    /// Whether it is alive, and its replica is up to date or has had long enough to become so.
     fn is_ready(&self, now: Micros) -> bool {
-        let is_equal = self.last_equal.is_some_and(|at| now < at + EQUAL_WITHIN);
-        now < self.last_heartbeat + INTERRUPTION && (is_equal || now >= self.since + REPLICA_PATIENCE)
+        let is_equal = self.last_equal.is_some_and(|at| now < at + EQUAL_REPLICA_MAX_AGE);
+        now < self.last_heartbeat + INTERRUPTION_TIMEOUT
+            && (is_equal || now >= self.alive_since + UNEQUAL_REPLICA_WAIT)
     }
 }
 
-/// The other stores.
+/// The failure detector of one store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct FailureDetector {
     own_name: StoreName,
     peers: BTreeMap<StoreName, Peer>,
-    /// From when on silence tells something.
+    /// When the last stall of this process ended; 0 if there was none. A peer's silence is counted from here at the earliest.
     watching_since: Micros,
     last_tick: Micros,
 }
 
 impl FailureDetector {
-    /// A detector that has heard nobody yet.
+    /// Creates a detector that has received no heartbeat yet.
     pub fn new(own_name: StoreName) -> FailureDetector {
         FailureDetector { own_name, peers: BTreeMap::new(), watching_since: 0, last_tick: 0 }
     }
 
-    /// Time has passed.
+    /// Detects stalls of this process; to be called periodically.
     pub fn tick(&mut self, now: Micros) {
-        if now > self.last_tick + STALL {
+        if now > self.last_tick + STALL_THRESHOLD {
             self.watching_since = now;
         }
         self.last_tick = now;
     }
 
-    /// A heartbeat of another store has come. `is_equal`: its replica has the digest of the one here.
+    /// Records a heartbeat of another store. `is_equal`: its replica has the same digest as the one here.
     pub fn heartbeat(&mut self, now: Micros, name: &str, incarnation: Option<u64>, is_equal: bool) {
-        let new = Peer { incarnation, since: now, last_heartbeat: now, last_equal: None };
+        let new = Peer { incarnation, alive_since: now, last_heartbeat: now, last_equal: None };
         let peer = self.peers.entry(name.into()).or_insert(new.clone());
-        if peer.incarnation != incarnation || now > peer.last_heartbeat + INTERRUPTION {
+        if peer.incarnation != incarnation || now > peer.last_heartbeat + INTERRUPTION_TIMEOUT {
             *peer = new;
         }
         peer.last_heartbeat = now;
@@ -77,59 +80,64 @@
         }
     }
 
-    /// The stores that have been heard lately.
+    /// The other stores whose last heartbeat is less than `FAILURE_TIMEOUT` old.
     pub fn alive(&self, now: Micros) -> impl Iterator<Item = StoreName> + '_ {
         let alive = self.peers.iter().filter(move |(_, peer)| now < peer.last_heartbeat + FAILURE_TIMEOUT);
         alive.map(|(name, _)| name.clone())
     }
 
-    /// Whether a member has been heard lately, with the disk with which it votes.
-    pub fn hears(&self, now: Micros, member: &Member) -> bool {
+    /// Whether a member is alive, with the disk incarnation with which it votes.
+    pub fn is_member_alive(&self, now: Micros, member: &Member) -> bool {
         self.peers.get(&member.name).is_some_and(|peer| {
             peer.incarnation == Some(member.incarnation) && now < peer.last_heartbeat + FAILURE_TIMEOUT
         })
     }
 
-    /// The members that should vote, if others than these. A store that has lost its disk votes with its new incarnation, one
-    /// that has failed gives way to another that is there, and others join until there are as many members as wanted.
+    /// The members that should vote, or `None` if they are the present ones. A store that has lost its disk votes with its
+    /// new incarnation, a failed one is replaced by a spare store, and spare stores join until there are `target_count`
+    /// members.
     ///
-    /// All that is known to be due is one change: the next change of names has to wait, and further members may be lost
-    /// meanwhile.
-    pub fn next_members(&self, now: Micros, members: &[Member], wanted: usize) -> Option<Vec<Member>> {
-        self.with_new_disks(now, members).or_else(|| self.with_spares(now, members, wanted))
+    /// All changes of names that are due form a single change: the next one has to wait for
+    /// [`MEMBERSHIP_CHANGE_INTERVAL`](crate::store::MEMBERSHIP_CHANGE_INTERVAL), and further members may be lost meanwhile.
+    pub fn next_members(&self, now: Micros, members: &[Member], target_count: usize) -> Option<Vec<Member>> {
+        self.with_new_incarnations(now, members).or_else(|| self.with_spares(now, members, target_count))
     }
 
-    /// The members, those whose disk was lost and that are back with their new incarnations; `None` if there are none.
-    fn with_new_disks(&self, now: Micros, members: &[Member]) -> Option<Vec<Member>> {
-        let renewed = members.iter().map(|member| self.renewed_member(now, member));
-        let next: Vec<Member> =
-            renewed.zip(members).map(|(renewed, member)| renewed.unwrap_or(member.clone())).collect();
+    /// The members, with new incarnations for those that are back after the loss of their disk; `None` if there are none.
+    fn with_new_incarnations(&self, now: Micros, members: &[Member]) -> Option<Vec<Member>> {
+        let reincarnated = members.iter().map(|member| self.reincarnated_member(now, member));
+        let next: Vec<Member> = reincarnated
+            .zip(members)
+            .map(|(reincarnated, member)| reincarnated.unwrap_or(member.clone()))
+            .collect();
         (next != members).then_some(next)
     }
 
-    /// The member that a store has become by the loss of its disk.
-    fn renewed_member(&self, now: Micros, member: &Member) -> Option<Member> {
+    /// The member with its new incarnation, if the store has lost its disk and is ready to vote again.
+    fn reincarnated_member(&self, now: Micros, member: &Member) -> Option<Member> {
         let peer = self.peers.get(&member.name).filter(|peer| peer.is_ready(now))?;
         let incarnation = peer.incarnation.filter(|incarnation| *incarnation != member.incarnation)?;
         Some(Member { name: member.name.clone(), incarnation })
     }
 
-    /// The members, with spare stores in place of those that have failed and as further ones; `None` if there is no change.
-    fn with_spares(&self, now: Micros, members: &[Member], wanted: usize) -> Option<Vec<Member>> {
+    /// The members, with failed ones replaced and missing ones added from the spare stores; `None` if nothing changes.
+    /// Nothing changes while any member is suspected, so that all that is due forms one change.
+    fn with_spares(&self, now: Micros, members: &[Member], target_count: usize) -> Option<Vec<Member>> {
         if members.iter().any(|member| self.is_suspected(now, member)) {
             return None;
         }
         let failed = members.iter().filter(|member| self.has_failed(now, member)).count();
-        let missing = wanted.saturating_sub(members.len());
+        let missing = target_count.saturating_sub(members.len());
         let mut spares = self.spares(now, members);
         if spares.len() < failed + missing {
-            // Those that are there replace what has failed; what is still missing may be about to come.
+            // The spare stores replace failed members first. To fill the other places, wait for more spare stores: they may
+            // be about to start.
             let replacing = spares.len().min(failed);
-            let patient = spares
+            let long_alive = spares
                 .split_off(replacing)
                 .into_iter()
-                .filter(|(_, since)| now >= since + PARTIAL_GROWTH_AFTER);
-            spares.extend(patient.collect::<Vec<_>>());
+                .filter(|(_, alive_since)| now >= alive_since + PARTIAL_GROWTH_AFTER);
+            spares.extend(long_alive.collect::<Vec<_>>());
         }
         let mut spares = spares.into_iter().map(|(member, _)| member);
         let replace = |member: &Member| {
@@ -142,19 +150,20 @@
         (next != members).then_some(next)
     }
 
-    /// Stores that could vote and do not, each with since when it has been there.
+    /// Stores that could vote but do not, each with the time since when it has been alive.
     fn spares(&self, now: Micros, members: &[Member]) -> Vec<(Member, Micros)> {
         let is_member = |name: &StoreName| members.iter().any(|member| member.name == *name);
         let spares = self.peers.iter().filter(|(name, peer)| {
-            peer.is_ready(now) && now >= peer.since + STABLE_AFTER && !is_member(name)
+            peer.is_ready(now) && now >= peer.alive_since + STABLE_AFTER && !is_member(name)
         });
         let member = |(name, peer): (&StoreName, &Peer)| {
-            Some((Member { name: name.clone(), incarnation: peer.incarnation? }, peer.since))
+            Some((Member { name: name.clone(), incarnation: peer.incarnation? }, peer.alive_since))
         };
         spares.filter_map(member).collect()
     }
 
-    /// For how long nothing has been heard of a member; 0 for this store itself.
+    /// Time since the last heartbeat of a member, or since the last stall of this process if that is later; 0 for this store
+    /// itself.
     fn silence(&self, now: Micros, member: &Member) -> Micros {
         if member.name == self.own_name {
             return 0;
@@ -167,8 +176,8 @@
         self.silence(now, member) >= FAILURE_TIMEOUT
     }
 
-    /// Whether a member is silent and may be about to fail.
+    /// Whether a member has missed heartbeats, but not for long enough to count as failed.
     fn is_suspected(&self, now: Micros, member: &Member) -> bool {
-        (INTERRUPTION..FAILURE_TIMEOUT).contains(&self.silence(now, member))
+        (INTERRUPTION_TIMEOUT..FAILURE_TIMEOUT).contains(&self.silence(now, member))
     }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What stores send each other. The order of variants and fields is part of the encoding on the wire and on disk.
+//! Messages between stores. The order of variants and fields is part of the encoding on the wire and on disk.
 
 use bincode::{Decode, Encode};
 use pinerelay_config_state::anti_entropy::SyncPart;
@@ -7,46 +7,47 @@
 /// The name of a store: the address of its machine.
 pub type StoreName = String;
 
-/// A proposal number: higher than all that its proposer knew of, and unique to that proposer.
+/// A proposal number: higher than all that its proposer knew of, and unique to the proposer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Encode, Decode)]
 pub struct Ballot {
-    /// Rises with each proposal.
+    /// Increases with each proposal; compared first.
     pub round: u64,
-    /// Tells the proposers of one round apart.
+    /// The proposer's id, which distinguishes the ballots of one round.
     pub proposer: u64,
 }
 
 impl Ballot {
-    /// The ballot of a proposer in a round.
+    /// Creates the ballot of a proposer in a round.
     pub fn new(round: u64, proposer: u64) -> Ballot {
         Ballot { round, proposer }
     }
 }
 
-/// A voting store: a machine, and the incarnation of its disk. A store whose disk came back empty is another member, which
-/// holds nothing of what the earlier one promised and accepted.
+/// A voting store, identified by its name and the incarnation of its disk. A store that restarted with an empty disk is
+/// another member: it holds nothing that the earlier one promised and accepted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Encode, Decode)]
 pub struct Member {
     /// The store's name.
     pub name: StoreName,
-    /// Different for each empty disk; 0 for the one at the first start of the system.
+    /// Different each time the store starts with an empty disk; 0 at the first start of the system.
     pub incarnation: u64,
 }
 
-/// The voting stores from an epoch on. Memberships are agreed on like any update.
+/// The voting stores of an epoch. A change of membership is agreed on like any update.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Encode, Decode)]
 pub struct Membership {
-    /// Rises by one with each change; 0 if no membership is known.
+    /// Increases by one with each change; 0 if no membership is known.
     pub epoch: u64,
-    /// The voting stores, in the order of their names.
+    /// The voting stores, sorted by name.
     pub members: Vec<Member>,
-    /// The names of those that voted before the last change of names, as long as that is recent; otherwise of those of the
-    /// epoch before.
+    /// The names of the stores that voted before the last change of names, as long as that change is recent (see
+    /// [`MEMBERSHIP_CHANGE_INTERVAL`](crate::store::MEMBERSHIP_CHANGE_INTERVAL)); otherwise of those that voted in the
+    /// preceding epoch.
     pub previous: Vec<StoreName>,
 }
 
 impl Membership {
-    /// The membership at the first start of the system.
+    /// The membership at the first start of the system, in epoch 1.
     pub fn first(names: impl IntoIterator<Item = StoreName>) -> Membership {
         let mut names: Vec<StoreName> = names.into_iter().collect();
         names.sort();
@@ -64,23 +65,23 @@
 /// The value that is proposed under a ballot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Encode, Decode)]
 pub struct Batch {
-    /// Items of operators' updates.
+    /// The items of updates and changes of rollouts.
     pub items: Vec<Item>,
-    /// The membership that is in force once the batch is committed, if it changes.
+    /// The new membership, in force once the batch is committed; `None` if it does not change.
     pub membership: Option<Membership>,
 }
 
-/// A batch that an acceptor has accepted and does not know to be committed.
+/// The batch that an acceptor has accepted and does not know to be committed, if any.
 pub type Pending = Option<Batch>;
 
-/// No round and no epoch reaches this number. A peer that told of a higher one would leave no number for the proposals after
-/// it, and the stores would keep it on their disks.
-const NUMBER_LIMIT: u64 = 1 << 62;
+/// Exclusive limit of plausible rounds and epochs; proposals never reach it. If a peer's higher number were accepted, no
+/// numbers would be left for the proposals after it, and the stores would keep it on their disks.
+const ROUND_AND_EPOCH_LIMIT: u64 = 1 << 62;
 
 /// A message between stores.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// Phase 1a: accept nothing under a lower ballot from now on, and tell what you hold.
+    /// Phase 1a: asks the acceptor to accept nothing under a lower ballot from now on, and to report its state.
     Prepare {
         /// The proposal's ballot.
         ballot: Ballot,
@@ -89,38 +90,38 @@
         /// Digests of the proposer's committed items by range; the acceptor sends items where its own differ.
         range_digests: Vec<u64>,
     },
-    /// Phase 1b: the acceptor will accept nothing lower, not even after a restart.
+    /// Phase 1b: the acceptor will accept nothing under a lower ballot, not even after a restart.
     Promise {
         /// The proposal's ballot.
         ballot: Ballot,
-        /// The incarnation of the acceptor's disk: one that has lost its disk is another member.
+        /// The incarnation of the acceptor's disk: an acceptor that has lost its disk is another member.
         incarnation: u64,
         /// The highest ballot under which the acceptor has accepted or committed a batch.
         accepted: Ballot,
-        /// The batch that it accepted under that ballot, unless it knows it to be committed.
+        /// The batch that it accepted under that ballot, unless it knows the batch to be committed.
         pending: Pending,
         /// Digests of the acceptor's committed items by range.
         range_digests: Vec<u64>,
-        /// Its committed items of the ranges that differ.
+        /// The acceptor's committed items in the ranges whose digests differ.
         items: Vec<Item>,
     },
-    /// A higher ballot has been promised.
+    /// The proposal is rejected because of a ballot that was promised before.
     Reject {
         /// The proposal's ballot.
         ballot: Ballot,
-        /// The ballot that was promised.
+        /// The highest ballot that the acceptor has promised.
         promised: Ballot,
     },
-    /// Phase 2a: write this to disk, all or nothing.
+    /// Phase 2a: asks the acceptor to write the missing items and the batch to disk, atomically.
     Accept {
         /// The proposal's ballot.
         ballot: Ballot,
-        /// Committed items that the acceptor lacks: whoever accepts a batch holds all that was committed before it.
+        /// Committed items that the acceptor lacks: an acceptor of a batch holds everything that was committed before it.
         missing: Vec<Item>,
         /// The proposed value.
         batch: Batch,
     },
-    /// Phase 2b: it is on disk.
+    /// Phase 2b: the batch is on the acceptor's disk.
     Accepted {
         /// The proposal's ballot.
         ballot: Ballot,
@@ -131,56 +132,57 @@
     Commit {
         /// The proposal's ballot.
         ballot: Ballot,
-        /// The membership under which it was chosen. A store that knows an older one learns of it here, or not at all.
+        /// The membership under which it was chosen. A store that knows only an older one may not learn of it otherwise.
         membership: Membership,
         /// The chosen value.
         batch: Batch,
     },
-    /// The receiver's epoch has passed: this membership is in force.
+    /// The receiver's epoch is outdated: this newer membership is in force.
     NewMembership(Membership),
-    /// The sender is alive, and its committed items have this digest. [`Message::HeartbeatAck`] is expected.
+    /// The sender is alive, and its committed items have this digest. The receiver replies with [`Message::HeartbeatAck`].
     Heartbeat {
-        /// The sender's process; returned.
+        /// The id of the sender's process; returned in the acknowledgement.
         process_id: u64,
-        /// When it was sent, by the sender's clock; returned.
+        /// When it was sent, by the sender's clock; returned in the acknowledgement.
         sent_at: u64,
         /// The digest of all committed items.
         digest: u64,
         /// The epoch of the sender's membership.
         epoch: u64,
-        /// The incarnation of its disk; `None` until the disk holds it.
+        /// The incarnation of the sender's disk; `None` until it is durable.
         incarnation: Option<u64>,
-        /// The highest ballot that it knows of.
+        /// The highest ballot that the sender's acceptor knows of.
         highest_ballot: Ballot,
     },
-    /// The state of the receiver of a heartbeat.
+    /// The acknowledgement of a heartbeat, with the state of the store that received it.
     HeartbeatAck {
-        /// As in the heartbeat.
+        /// Copied from the heartbeat.
         process_id: u64,
-        /// As in the heartbeat.
+        /// Copied from the heartbeat.
         sent_at: u64,
-        /// The digest of all committed items.
+        /// The digest of all committed items of the acknowledging store.
         digest: u64,
         /// The epoch of its membership.
         epoch: u64,
-        /// The incarnation of its disk.
+        /// The incarnation of its disk; `None` until it is durable.
         incarnation: Option<u64>,
-        /// Whether it holds a batch that it does not know to be committed.
+        /// Whether it has accepted a batch that it does not know to be committed.
         has_pending: bool,
     },
     /// Anti-entropy between the committed items of two stores.
     Sync {
-        /// Items that are newer here or unknown there, as far as the sender knows.
+        /// Items that, as far as the sender knows, the receiver lacks or has in an older version.
         items: Vec<Item>,
-        /// What to compare or send next.
+        /// The parts of the item set that the receiver is to compare or send next.
         parts: Vec<SyncPart>,
     },
-    /// Committed items.
+    /// Committed items for the receiver to merge.
     Update(Vec<Item>),
 }
 
 impl Message {
-    /// Whether proposals and changes of membership can have led to the message's numbers. Others are ignored.
+    /// Whether the message's rounds and epochs are below the limit that regular operation never reaches. Other messages are
+    /// ignored.
     pub fn is_plausible(&self) -> bool {
         match self {
             Message::Prepare { ballot, membership, .. } => is_plausible(&[*ballot], [membership]),
@@ -195,7 +197,7 @@
             }
             Message::NewMembership(membership) => is_plausible(&[], [membership]),
             Message::Heartbeat { epoch, highest_ballot, .. } => {
-                *epoch < NUMBER_LIMIT && is_plausible(&[*highest_ballot], [])
+                *epoch < ROUND_AND_EPOCH_LIMIT && is_plausible(&[*highest_ballot], [])
             }
             Message::HeartbeatAck { .. } | Message::Sync { .. } | Message::Update(_) => true,
         }
@@ -203,6 +205,6 @@
 }
 
 fn is_plausible<'a>(ballots: &[Ballot], memberships: impl IntoIterator<Item = &'a Membership>) -> bool {
-    ballots.iter().all(|ballot| ballot.round < NUMBER_LIMIT)
-        && memberships.into_iter().all(|membership| membership.epoch < NUMBER_LIMIT)
+    ballots.iter().all(|ballot| ballot.round < ROUND_AND_EPOCH_LIMIT)
+        && memberships.into_iter().all(|membership| membership.epoch < ROUND_AND_EPOCH_LIMIT)
 }
--- a/crates/consensus/src/persistent_state.rs
+++ b/crates/consensus/src/persistent_state.rs
@@ -1,30 +1,30 @@
-//! What an acceptor keeps on disk, and the changes to it.
+//! The state that an acceptor keeps on disk, and changes of it.
 
 use pinerelay_config_state::{Item, ItemSet};
 
 use crate::message::{Ballot, Membership, Pending};
 
-/// The state of an acceptor that outlives its process.
+/// The state of an acceptor that survives restarts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct PersistentState {
-    /// The incarnation of this disk; `None` if it was never written.
+    /// The incarnation of this disk; `None` if the disk was never written.
     pub incarnation: Option<u64>,
-    /// Whether it has held all that was committed, at some moment.
+    /// Whether the disk has held all committed items at some point.
     pub is_complete: bool,
-    /// The membership that it knows.
+    /// The newest membership that the store knows.
     pub membership: Membership,
-    /// No ballot of a higher round has been promised.
+    /// The promise ceiling: no ballot of a higher round has been promised.
     pub promise_ceiling: u64,
     /// The highest ballot under which a batch was accepted or committed.
     pub accepted: Ballot,
-    /// The batch that was accepted under it, unless it is known to be committed.
+    /// The batch that was accepted under that ballot, unless it is known to be committed.
     pub pending: Pending,
     /// The committed items.
     pub items: Vec<Item>,
 }
 
 impl PersistentState {
-    /// Applies a change, as the disk does.
+    /// Applies a change in the same way as writing it to disk does.
     pub fn apply(&mut self, change: &StateChange) {
         self.incarnation = change.incarnation.or(self.incarnation);
         self.is_complete |= change.is_complete;
@@ -41,21 +41,21 @@
     }
 }
 
-/// A change to the state, which is written atomically. Fields that are `None`, false or empty leave the state as it is.
+/// A change of the persistent state, written atomically. Fields that are `None`, false or empty leave the state unchanged.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 #[must_use = "a change that is not written is lost"]
 pub struct StateChange {
-    /// The disk's incarnation.
+    /// The new incarnation of the disk.
     pub incarnation: Option<u64>,
-    /// The disk holds all that was committed.
+    /// Whether the disk now holds all committed items.
     pub is_complete: bool,
-    /// The membership.
+    /// The new membership.
     pub membership: Option<Membership>,
-    /// The ceiling of promises.
+    /// The new promise ceiling.
     pub promise_ceiling: Option<u64>,
-    /// The highest ballot, and the batch that is pending under it.
+    /// The highest ballot under which a batch was accepted or committed, and the batch that is pending under it.
     pub accepted: Option<(Ballot, Pending)>,
-    /// Items that were committed.
+    /// Newly committed items.
     pub committed: Vec<Item>,
 }
 
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -1,4 +1,4 @@
-//! A store: its proposer, its acceptor, and what keeps its replica and its membership up to date.
+//! A store: its proposer and its acceptor, and the parts that keep its replica and its membership up to date.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -21,15 +21,16 @@
 use replacement::Replacement;
 pub use replacement::MEMBERSHIP_CHANGE_INTERVAL;
 
-/// A batch that has been pending for so long is committed by whoever holds it.
+/// A store that has held a pending batch for this long proposes it again, so that it is committed; each rank waits half as
+/// long again.
 const RECOVERY_DELAY: Micros = 500_000;
-/// The number of the requests that a store makes itself.
-const OWN_REQUEST: RequestId = u64::MAX;
+/// The id of the requests that a store issues itself; replies to them are dropped.
+const INTERNAL_REQUEST_ID: RequestId = u64::MAX;
 
-/// What happens to a store.
+/// An event that a store has to handle.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// Another store has sent a message.
+    /// A message from another store has arrived.
     Message {
         /// The sender.
         from: StoreName,
@@ -38,25 +39,25 @@
     },
     /// A client has made a request.
     Request {
-        /// Returned with the reply.
+        /// Identifies the request; returned with the reply.
         id: RequestId,
         /// The request.
         request: Request,
     },
-    /// The caller of a request has gone: unless it is proposed already, it is not to be.
+    /// The caller of a request has gone: the request is dropped unless it is already proposed.
     Cancel(RequestId),
-    /// A write has ended.
+    /// A write has completed or failed.
     WriteCompleted {
-        /// As in [`Output::Write`].
+        /// The id of the write, from [`Output::Write`].
         id: u64,
         /// Whether the change is durable.
         succeeded: bool,
     },
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick,
 }
 
-/// What a store wants done.
+/// An effect that the caller has to carry out for a store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Send a message to another store.
@@ -66,7 +67,7 @@
         /// The message.
         message: Message,
     },
-    /// Write a change atomically, after all writes before it. [`Input::WriteCompleted`] reports its end.
+    /// Write a change atomically, after all earlier writes. [`Input::WriteCompleted`] reports the result.
     Write {
         /// Identifies the write.
         id: u64,
@@ -75,21 +76,21 @@
     },
     /// Reply to a client's request.
     Reply {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
-        /// Its outcome.
+        /// The outcome of the request.
         reply: Reply,
     },
-    /// Items were committed that are new here.
+    /// Committed items that are new to this store.
     Committed(Vec<Item>),
 }
 
-/// What is to be done once a write is durable.
+/// What the store does once a write is durable.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum AfterWrite {
-    /// Tell a proposer that its batch is accepted.
+    /// Send [`Message::Accepted`] to a proposer.
     SendAccepted { to: StoreName, ballot: Ballot },
-    /// Send the promise to a proposer, if its epoch is still in force.
+    /// Send the promise to a proposer, or the membership if a newer one is in force.
     SendPromise {
         to: StoreName,
         epoch: u64,
@@ -97,55 +98,55 @@
         range_digests: Vec<u64>,
         promise_ceiling: Option<u64>,
     },
-    /// Tell the acceptor.
+    /// Record in the acceptor that the change is durable.
     NotifyAcceptor(StateChange),
 }
 
-/// What a store is told at its start.
+/// The configuration of a store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct StoreConfig {
-    /// Its name.
+    /// The store's name.
     pub name: StoreName,
-    /// Different for each process.
+    /// Differs between all processes that run the store.
     pub process_id: u64,
     /// The number of machines that may be lost at once.
     pub tolerated_losses: usize,
-    /// Whether the system starts for the first time: an empty disk has lost nothing.
+    /// Whether the system starts for the first time, so that an empty disk does not mean that data was lost.
     pub first_start: bool,
-    /// Other stores.
+    /// The stores that are contacted at the start; at the first start of the system they are the voting stores.
     pub seeds: Vec<StoreName>,
 }
 
-/// A store.
+/// The state machine of one store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Store {
     config: StoreConfig,
     membership: Membership,
-    /// When it learned of the membership.
+    /// When this store learned of the membership.
     membership_since: Micros,
     acceptor: Acceptor,
     proposer: Proposer,
     failure_detector: FailureDetector,
-    /// By the number of the write.
+    /// What to do after each write in progress, by the id of the write.
     after_write: BTreeMap<u64, AfterWrite>,
     last_write: u64,
-    /// Since when it has held a pending batch.
+    /// Since when a batch has been pending, or when it was last proposed for recovery.
     pending_since: Option<Micros>,
     replacement: Replacement,
     next_heartbeat: Micros,
     lease: Lease,
-    /// Messages to itself.
+    /// Messages of the store to itself.
     loopback: VecDeque<Message>,
 }
 
-/// Where the handlers of one step leave what is to be done.
+/// The effects that the handlers of one step collect.
 struct Effects<'a> {
     actions: Vec<Action>,
     out: &'a mut Vec<Output>,
 }
 
 impl Store {
-    /// A store with what its disk holds, `None` if it was empty. Appends what is to be done first.
+    /// Creates a store from the state on its disk (`None` if the disk is empty), and appends the first outputs.
     pub fn new(config: StoreConfig, state: Option<PersistentState>, out: &mut Vec<Output>) -> Store {
         let mut state = state.unwrap_or_default();
         let is_empty = state.incarnation.is_none();
@@ -170,26 +171,27 @@
             config,
         };
         store.adopt(0, membership);
-        let change = store.first_change(is_empty);
+        let change = store.initial_change(is_empty);
         store.write(change.clone(), Some(AfterWrite::NotifyAcceptor(change)), out);
         store
     }
 
-    /// What is written before anything is promised: after a restart the store must know that it had begun.
-    fn first_change(&mut self, is_empty: bool) -> StateChange {
+    /// The change that is written before anything is promised: after a restart the store must know that it ran before.
+    fn initial_change(&mut self, is_empty: bool) -> StateChange {
         let mut change = self.acceptor.raise_ceiling().unwrap_or_default();
         if is_empty {
             let StoreConfig { first_start, process_id, .. } = self.config;
-            // A store that does not know who it was has lost its disk, and is another member from now on.
+            // Except at the first start of the system, an empty disk means that the disk was lost: the store is another
+            // member from now on.
             change.incarnation = Some(if first_start { 0 } else { process_id.max(1) });
-            // At the first start of the system it lacks nothing.
+            // At the first start of the system, nothing was committed that it could lack.
             change.is_complete = first_start;
             change.membership = Some(self.membership.clone());
         }
         change
     }
 
-    /// Puts a membership in force if it is newer; returns whether it was.
+    /// Puts a membership in force if it is newer than the present one; returns whether it was.
     fn adopt(&mut self, now: Micros, membership: Membership) -> bool {
         if membership.epoch <= self.membership.epoch {
             return false;
@@ -202,7 +204,7 @@
         true
     }
 
-    /// Puts a committed membership in force and writes it.
+    /// Puts a committed membership in force and writes it to disk, if it is newer than the present one.
     fn learn_membership(&mut self, now: Micros, membership: Membership, out: &mut Vec<Output>) {
         if self.adopt(now, membership) {
             let membership = Some(self.membership.clone());
@@ -215,12 +217,12 @@
         self.acceptor.items()
     }
 
-    /// The membership that it knows.
+    /// The newest membership that this store knows.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Whether it votes.
+    /// Whether this store votes: its name and disk incarnation are in the membership.
     pub fn is_voter(&self) -> bool {
         let incarnation = self.acceptor.incarnation();
         let is_self =
@@ -228,46 +230,46 @@
         self.membership.members.iter().any(is_self)
     }
 
-    /// Whether its replica is complete: a quorum has confirmed that it held all that was committed, in this process, or on the
-    /// disk with which it votes.
+    /// Whether its replica is complete: a quorum has confirmed that it held all committed items, either in this process, or
+    /// earlier on the disk with which the store votes.
     pub fn is_complete(&self) -> bool {
         self.lease.was_ever_held() || self.acceptor.is_complete() && self.is_voter()
     }
 
-    /// Whether a quorum has confirmed that its replica held all that was committed at a moment of the last
+    /// Whether a quorum has confirmed that its replica held all committed items at a point within the last
     /// [`LEASE_DURATION`].
     pub fn is_current(&self, now: Micros) -> bool {
         self.lease_left(now) > 0
     }
 
-    /// For how much longer its replica counts as current; 0 if it does not.
+    /// The time for which its replica still counts as current; 0 if it does not.
     pub fn lease_left(&self, now: Micros) -> Micros {
-        self.lease.left(now)
+        self.lease.remaining(now)
     }
 
-    /// How many of the voting stores are there.
+    /// How many of the voting stores are alive, as seen by this store.
     pub fn quorum_health(&self, now: Micros) -> QuorumHealth {
         let members = &self.membership.members;
         let own_incarnation = self.acceptor.incarnation();
-        let is_heard = |member: &&Member| {
+        let is_alive = |member: &&Member| {
             let is_self = member.name == self.config.name && own_incarnation == Some(member.incarnation);
-            is_self || self.failure_detector.hears(now, member)
+            is_self || self.failure_detector.is_member_alive(now, member)
         };
         QuorumHealth {
             voters: members.len(),
-            heard: members.iter().filter(is_heard).count(),
+            heard: members.iter().filter(is_alive).count(),
             needed: quorum_size(&self.membership, self.config.tolerated_losses),
         }
     }
 
-    /// The stores that it has to reach: those that vote, and its seeds.
+    /// The stores that this store needs a connection to: the other voters and the seeds.
     pub fn peers(&self) -> Vec<StoreName> {
         let names = self.membership.names().into_iter().chain(self.config.seeds.clone());
         let names: BTreeSet<StoreName> = names.collect();
         names.into_iter().filter(|name| *name != self.config.name).collect()
     }
 
-    /// Handles one input at the time `now` and appends what is to be done.
+    /// Handles one input at the time `now` and appends the outputs.
     pub fn step(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         let mut effects = Effects { actions: Vec::new(), out };
         match input {
@@ -275,22 +277,22 @@
                 self.receive(now, &from, message, &mut effects);
             }
             Input::Message { .. } => {}
-            Input::Request { id, request } => self.propose(now, id, request, &mut effects),
+            Input::Request { id, request } => self.submit_request(now, id, request, &mut effects),
             Input::Cancel(id) => self.proposer.cancel(id),
             Input::WriteCompleted { id, succeeded } => self.write_completed(id, succeeded, effects.out),
             Input::Tick => self.tick(now, &mut effects),
         }
-        self.carry_out(now, effects);
+        self.execute_actions(now, effects);
         self.pending_since = self.acceptor.has_pending().then(|| self.pending_since.unwrap_or(now));
     }
 
-    /// Carries out what the proposer wants, until nothing is left, messages to the store itself included.
-    fn carry_out(&mut self, now: Micros, mut effects: Effects) {
+    /// Executes the proposer's actions and handles the messages of the store to itself, until none are left.
+    fn execute_actions(&mut self, now: Micros, mut effects: Effects) {
         loop {
             for action in std::mem::take(&mut effects.actions) {
                 match action {
                     Action::Send(to, message) => self.send(to, message, effects.out),
-                    Action::Reply(OWN_REQUEST, _) => {}
+                    Action::Reply(INTERNAL_REQUEST_ID, _) => {}
                     Action::Reply(id, reply) => effects.out.push(Output::Reply { id, reply }),
                     Action::Chosen(ballot, batch) => self.send_commit(now, ballot, &batch, effects.out),
                 }
@@ -301,7 +303,7 @@
         }
     }
 
-    fn propose(&mut self, now: Micros, id: RequestId, request: Request, effects: &mut Effects) {
+    fn submit_request(&mut self, now: Micros, id: RequestId, request: Request, effects: &mut Effects) {
         let observed = self.acceptor.highest_ballot();
         self.proposer.request(now, id, request, self.acceptor.items(), observed, &mut effects.actions);
     }
@@ -334,8 +336,8 @@
                 }
             }
             AfterWrite::SendPromise { to, epoch, ballot, range_digests, promise_ceiling } => {
-                self.acceptor.written(&StateChange { promise_ceiling, ..StateChange::default() });
-                // What was pending may have been committed meanwhile, and a change of membership with it.
+                self.acceptor.record_durable(&StateChange { promise_ceiling, ..StateChange::default() });
+                // The pending batch may have been committed meanwhile, and with it a change of membership.
                 let reply = if epoch < self.membership.epoch {
                     Message::NewMembership(self.membership.clone())
                 } else {
@@ -343,17 +345,18 @@
                 };
                 self.send(to, reply, out);
             }
-            AfterWrite::NotifyAcceptor(change) => self.acceptor.written(&change),
+            AfterWrite::NotifyAcceptor(change) => self.acceptor.record_durable(&change),
         }
     }
 
-    /// Writes and reports committed items that are new.
-    fn learned(&mut self, learned: Learned, out: &mut Vec<Output>) {
+    /// Writes and reports newly learned committed items.
+    fn apply_learned(&mut self, learned: Learned, out: &mut Vec<Output>) {
         self.write(learned.change, None, out);
         report_committed(learned.items, out);
     }
 
-    /// Sends a chosen batch to all stores that are there, those that do not vote as well.
+    /// Sends a chosen batch to the present and the next members and to all stores that are alive, including those that do not
+    /// vote.
     fn send_commit(&mut self, now: Micros, ballot: Ballot, batch: &Batch, out: &mut Vec<Output>) {
         let next = batch.membership.as_ref().map(Membership::names).unwrap_or_default();
         let mut receivers: BTreeSet<StoreName> = self.membership.names().into_iter().chain(next).collect();
@@ -371,7 +374,7 @@
             self.write(change.clone(), Some(AfterWrite::NotifyAcceptor(change)), effects.out);
         }
         self.recover_pending(now, effects);
-        self.change_members(now, effects);
+        self.propose_membership_change(now, effects);
         let observed = self.acceptor.highest_ballot();
         self.proposer.tick(now, self.acceptor.items(), observed, &mut effects.actions);
         if now >= self.next_heartbeat {
@@ -379,19 +382,20 @@
         }
     }
 
-    /// The store's position among the voters, by which they take turns; 0 if it does not vote.
+    /// The store's position among the members' names, which staggers their proposals; 0 if it is not among them.
     fn rank(&self) -> Micros {
         let names = self.membership.names();
         names.iter().position(|name| *name == self.config.name).unwrap_or(0) as Micros
     }
 
-    /// Commits what has been pending for long. The first of its holders does so, so that not all do at once.
+    /// Proposes a batch that has been pending for long, so that it is committed. The delay grows with the store's rank, so
+    /// that not all holders of the batch propose at once.
     fn recover_pending(&mut self, now: Micros, effects: &mut Effects) {
         let delay = RECOVERY_DELAY + self.rank() * RECOVERY_DELAY / 2;
         let is_due = self.pending_since.is_some_and(|since| now >= since + delay);
         if is_due && !self.proposer.is_busy() {
             self.pending_since = Some(now);
-            self.propose(now, OWN_REQUEST, Request::Recover, effects);
+            self.submit_request(now, INTERNAL_REQUEST_ID, Request::Recover, effects);
         }
     }
 }
--- a/crates/consensus/src/store/messages.rs
+++ b/crates/consensus/src/store/messages.rs
@@ -1,4 +1,4 @@
-//! One handler for each message between stores.
+//! Handlers for the messages between stores.
 
 use pinerelay_config_state::anti_entropy::SyncPart;
 use pinerelay_config_state::Item;
@@ -9,7 +9,7 @@
 use crate::Micros;
 
 impl Store {
-    /// Handles a message of another store, or of this one to itself.
+    /// Handles a message from another store, or from this store to itself.
     pub(super) fn receive(&mut self, now: Micros, from: &str, message: Message, effects: &mut Effects) {
         let out = &mut *effects.out;
         match message {
@@ -31,7 +31,7 @@
             Message::Sync { items, parts } => self.on_sync(from, items, &parts, out),
             Message::Update(items) => {
                 let learned = self.acceptor.learn(items);
-                self.learned(learned, out);
+                self.apply_learned(learned, out);
             }
         }
     }
@@ -87,21 +87,21 @@
         batch: Batch,
         out: &mut Vec<Output>,
     ) {
-        // The batch may take the place of a change of membership that is pending here; the membership that it made must not
-        // get lost.
+        // The commit may discard a change of membership that is pending here and was chosen: the membership that resulted
+        // from it must not be lost.
         self.learn_membership(now, membership, out);
         if let Some(next) = batch.membership {
             self.learn_membership(now, next, out);
         }
         let learned = self.acceptor.commit(ballot, batch.items);
-        self.learned(learned, out);
+        self.apply_learned(learned, out);
     }
 
     fn on_promise(&mut self, now: Micros, from: &str, message: Message, effects: &mut Effects) {
         if let Message::Promise { items, .. } = &message {
-            // What is committed anywhere was chosen.
+            // Items that any store reports as committed were chosen, so they may be merged at once.
             let learned = self.acceptor.learn(items.clone());
-            self.learned(learned, effects.out);
+            self.apply_learned(learned, effects.out);
         }
         self.proposer.receive(now, from, message, self.acceptor.committed(), &mut effects.actions);
     }
@@ -111,7 +111,7 @@
         else {
             return;
         };
-        self.proposer.observe(highest_ballot);
+        self.proposer.observe_ballot(highest_ballot);
         let own_digest = self.items().digest();
         self.failure_detector.heartbeat(now, from, incarnation, digest == own_digest);
         let ack = Message::HeartbeatAck {
@@ -142,19 +142,20 @@
             return;
         }
         if let Some(incarnation) = incarnation {
-            self.confirmed(sent_at, Member { name: from.into(), incarnation }, out);
+            self.on_confirmation(sent_at, Member { name: from.into(), incarnation }, out);
         }
     }
 
-    /// Takes over what is newer there, and replies with what is newer here or is to be compared next.
+    /// Merges the items that are newer at the sender, and replies with those that are newer here and the parts to compare
+    /// next.
     fn on_sync(&mut self, from: &str, items: Vec<Item>, parts: &[SyncPart], out: &mut Vec<Output>) {
         let is_request = items.is_empty();
         let learned = self.acceptor.learn(items);
-        // Items that bring nothing belong to a second exchange about the same difference: the first one goes on.
-        let goes_on = is_request || !learned.items.is_empty();
-        self.learned(learned, out);
+        // If none of the items is new, another exchange about the same difference is already in progress: end this one.
+        let should_reply = is_request || !learned.items.is_empty();
+        self.apply_learned(learned, out);
         let reply = self.items().sync_reply(parts);
-        if goes_on && !reply.is_empty() {
+        if should_reply && !reply.is_empty() {
             self.send(from.into(), Message::Sync { items: reply.items, parts: reply.parts }, out);
         }
     }
