--- a/crates/config-state/examples/catch_up.rs
+++ b/crates/config-state/examples/catch_up.rs
@@ -1,4 +1,4 @@
-//! What it costs to catch up and to judge, in bytes and microseconds, at the target's size and at a small one.
+//! The cost of anti-entropy and of validation, in bytes and microseconds, for a full-size and for a small configuration.
 //!
 //! `cargo run --release -p pinerelay-config-state --example catch_up`
 
@@ -32,8 +32,8 @@
     Item::with_revision(Key::new(Kind::Service, format!("service-{n}")), 1, Some(text.into_bytes()))
 }
 
-/// So many tenants and routes, and 100 services.
-fn copy(tenants: usize, routes: usize) -> ItemSet {
+/// A replica with the given numbers of tenants and routes, and 100 services.
+fn replica(tenants: usize, routes: usize) -> ItemSet {
     let mut item_set = ItemSet::default();
     item_set.merge_all((0..100).map(service));
     item_set.merge_all((0..routes).map(|n| route(n, 1)));
@@ -41,116 +41,120 @@
     item_set
 }
 
-fn bytes<T: bincode::Encode>(value: &T) -> usize {
-    bincode::encode_to_vec(value, bincode::config::standard()).expect("bytes").len()
+/// The size of an encoded value, in bytes.
+fn encoded_len<T: bincode::Encode>(value: &T) -> usize {
+    bincode::encode_to_vec(value, bincode::config::standard()).expect("an encoded value").len()
 }
 
-fn timed<T>(what: &str, times: u32, mut act: impl FnMut() -> T) {
-    let begun = Instant::now();
-    (0..times).for_each(|_| drop(black_box(act())));
-    println!("{what}: {:.1} us", begun.elapsed().as_secs_f64() * 1e6 / f64::from(times));
+/// Prints the mean time of an operation, in microseconds.
+fn measure<T>(label: &str, runs: u32, mut operation: impl FnMut() -> T) {
+    let started = Instant::now();
+    (0..runs).for_each(|_| drop(black_box(operation())));
+    println!("{label}: {:.1} us", started.elapsed().as_secs_f64() * 1e6 / f64::from(runs));
 }
 
-/// The old one mends itself by the new one's word: a digest that differs, and all that follows.
-fn mend(old: &ItemSet, new: &ItemSet, what: &str) {
+/// Brings the old replica up to date with the new one, from the differing digest to the last reply, and prints the cost.
+fn synchronize(old: &ItemSet, new: &ItemSet, label: &str) {
     let (mut old, mut new) = (old.clone(), new.clone());
-    let begun = Instant::now();
-    let (mut all, mut items, mut most, mut messages) = (bytes(&new.digest()), 0, 0, 1);
-    let (mut from, mut to) = (&mut old, &mut new);
-    let mut sent = (Vec::new(), from.sync_request());
+    let started = Instant::now();
+    let (mut total, mut item_bytes, mut max_message, mut messages) = (encoded_len(&new.digest()), 0, 0, 1);
+    let (mut sender, mut receiver) = (&mut old, &mut new);
+    let mut sent = (Vec::new(), sender.sync_request());
     while !(sent.0.is_empty() && sent.1.is_empty()) {
-        let size = [bytes(&sent.0), bytes(&sent.1)];
-        all += size[0] + size[1];
-        items += size[0];
-        most = most.max(size[0] + size[1]);
+        let size = [encoded_len(&sent.0), encoded_len(&sent.1)];
+        total += size[0] + size[1];
+        item_bytes += size[0];
+        max_message = max_message.max(size[0] + size[1]);
         messages += 1;
-        to.merge_all(sent.0);
-        let answer = to.sync_reply(&sent.1);
-        sent = (answer.items, answer.parts);
-        std::mem::swap(&mut from, &mut to);
+        receiver.merge_all(sent.0);
+        let reply = receiver.sync_reply(&sent.1);
+        sent = (reply.items, reply.parts);
+        std::mem::swap(&mut sender, &mut receiver);
     }
     assert_eq!(old.digest(), new.digest());
-    let micros = begun.elapsed().as_micros();
-    println!("{what}: {all} bytes, {items} of them items, the longest message {most}, {messages} messages, {micros} us");
+    let micros = started.elapsed().as_micros();
+    println!("{label}: {total} bytes, {item_bytes} of them items, the longest message {max_message}, {messages} messages, {micros} us");
 }
 
-/// The same over a link of 2 Mbit/s and 20 ms each way: how long it takes, and the longest that a heartbeat
-/// waits behind a message.
-fn mend_over_a_link(old: &ItemSet, new: &ItemSet, what: &str) {
-    let (mut copies, mut sent) = ([old.clone(), new.clone()], (Vec::new(), old.sync_request()));
-    let on_the_way = |bytes: usize| bytes as f64 / 250_000.0 + 0.02;
-    let (mut now, mut longest, mut to) = (0.0, 0.0_f64, 1);
+/// The same over a link of 2 Mbit/s with a delay of 20 ms each way: prints the total time and the longest time that a
+/// heartbeat waits behind a message.
+fn synchronize_over_link(old: &ItemSet, new: &ItemSet, label: &str) {
+    let (mut replicas, mut sent) = ([old.clone(), new.clone()], (Vec::new(), old.sync_request()));
+    let transfer_time = |length: usize| length as f64 / 250_000.0 + 0.02;
+    let (mut now, mut longest, mut receiver) = (0.0, 0.0_f64, 1);
     while !(sent.0.is_empty() && sent.1.is_empty()) {
-        // Nothing else of the talk is on the link: at worst a heartbeat comes right behind the message.
-        let took = on_the_way(bytes(&sent.0) + bytes(&sent.1));
-        (now, longest) = (now + took, longest.max(took));
-        copies[to].merge_all(sent.0);
-        let answer = copies[to].sync_reply(&sent.1);
-        sent = (answer.items, answer.parts);
-        to = 1 - to;
+        // One message of the exchange is in transit at a time: at worst a heartbeat is queued right behind it.
+        let duration = transfer_time(encoded_len(&sent.0) + encoded_len(&sent.1));
+        (now, longest) = (now + duration, longest.max(duration));
+        replicas[receiver].merge_all(sent.0);
+        let reply = replicas[receiver].sync_reply(&sent.1);
+        sent = (reply.items, reply.parts);
+        receiver = 1 - receiver;
     }
-    println!("{what} at 2 Mbit/s, 20 ms away: {now:.2} s, a heartbeat waits for {longest:.2} s at most");
+    println!("{label} at 2 Mbit/s, 20 ms away: {now:.2} s, a heartbeat waits for {longest:.2} s at most");
 }
 
-/// Pages in memory, in bytes.
-fn resident() -> usize {
+/// The resident memory of this process, in bytes.
+fn resident_bytes() -> usize {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: usize = pages.split(' ').nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
     pages * 4_096
 }
 
 fn main() {
-    let before = resident();
-    let mut dropped = ItemSet::default();
+    let before = resident_bytes();
+    let mut tombstones = ItemSet::default();
     for n in 0..100_000 {
-        dropped.merge(Item::with_revision(Key::new(Kind::Tenant, format!("tenant-{n}")), 7, None));
+        tombstones.merge(Item::with_revision(Key::new(Kind::Tenant, format!("tenant-{n}")), 7, None));
     }
-    let all: Vec<&Item> = dropped.iter().collect();
+    let all: Vec<&Item> = tombstones.iter().collect();
     println!(
-        "1,000 dropped items: {} bytes in memory, {} bytes on the wire",
-        (resident() - before) / 100,
-        bytes(&all) / 100
+        "1,000 tombstones: {} bytes in memory, {} bytes on the wire",
+        (resident_bytes() - before) / 100,
+        encoded_len(&all) / 100
     );
     for (tenants, routes) in [(38_000, 3_900), (0, 0)] {
-        let new = copy(tenants, routes);
+        let new = replica(tenants, routes);
         println!("{} items", new.len());
-        let all = tenants.max(100);
+        let tenant_count = tenants.max(100);
         let changed = |count: usize| {
             let mut next = new.clone();
-            next.merge_all((0..count).map(|n| tenant(n * all / count, 2)));
+            next.merge_all((0..count).map(|n| tenant(n * tenant_count / count, 2)));
             next
         };
-        mend(&new, &changed(1), "one change");
-        mend(&new, &changed(100), "100 changes");
-        mend(&new, &changed(500), "500 changes");
-        mend(&ItemSet::default(), &new, "from nothing");
-        mend_over_a_link(&new, &changed(500), "500 changes");
-        mend_over_a_link(&ItemSet::default(), &new, "from nothing");
+        synchronize(&new, &changed(1), "one change");
+        synchronize(&new, &changed(100), "100 changes");
+        synchronize(&new, &changed(500), "500 changes");
+        synchronize(&ItemSet::default(), &new, "from nothing");
+        synchronize_over_link(&new, &changed(500), "500 changes");
+        synchronize_over_link(&ItemSet::default(), &new, "from nothing");
         let mut item_set = new.clone();
         let mut revision = 10;
-        timed("merge of one changed tenant", 1_000, || {
+        measure("merge of one changed tenant", 1_000, || {
             revision += 1;
-            item_set.merge(tenant(all / 2, revision))
+            item_set.merge(tenant(tenant_count / 2, revision))
         });
-        timed("clone", 10, || item_set.clone());
+        measure("clone", 10, || item_set.clone());
         let call = [tenant(7, 1_000_000)];
-        timed("accept_update of one changed tenant", 10, || accept_update(&item_set, &call).expect("fits"));
-        timed("IndexedItems::new", 10, || IndexedItems::new(item_set.clone()));
+        measure("accept_update of one changed tenant", 10, || {
+            accept_update(&item_set, &call).expect("a valid call")
+        });
+        measure("IndexedItems::new", 10, || IndexedItems::new(item_set.clone()));
         let current = IndexedItems::new(item_set.clone());
-        timed("IndexedItems::taken of one changed tenant", 10_000, || {
-            current.accept_update(&call).expect("fits")
+        measure("IndexedItems::accept_update of one changed tenant", 10_000, || {
+            current.accept_update(&call).expect("a valid call")
         });
-        timed("RoutingTable::from_items", 10, || RoutingTable::from_items(&item_set));
+        measure("RoutingTable::from_items", 10, || RoutingTable::from_items(&item_set));
         let mut table = RoutingTable::from_items(&item_set);
-        timed("Table::change of one tenant", 1_000, || {
+        measure("RoutingTable::apply of one tenant", 1_000, || {
             revision += 1;
-            table.apply(&tenant(all / 2, revision))
+            table.apply(&tenant(tenant_count / 2, revision))
         });
-        timed("Table::change of one tenant, beside a clone that others hold", 100, || {
-            let held = table.clone();
+        measure("RoutingTable::apply of one tenant, while a clone exists", 100, || {
+            let snapshot = table.clone();
             revision += 1;
-            table.apply(&tenant(all / 2, revision));
-            held
+            table.apply(&tenant(tenant_count / 2, revision));
+            snapshot
         });
     }
 }
--- a/crates/config-state/src/anti_entropy.rs
+++ b/crates/config-state/src/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: what two replicas send each other until they are equal.
+//! Anti-entropy: the messages that two replicas exchange until they are equal.
 //!
 //! A replica first sends the digests of the top of its tree ([`ItemSet::sync_request`]). The other descends where digests
 //! differ and replies with newer items and with the next digests or entries to compare ([`ItemSet::sync_reply`]). A reply
@@ -14,14 +14,14 @@
 use crate::item::{Item, Version};
 use crate::item_set::ItemSet;
 
-/// A reply ends after so many bytes, plus the one part or item that exceeds them. At 2 Mbit/s it takes a quarter of a second,
-/// so that heartbeats queued behind it are in time.
+/// The size in bytes at which a reply ends; the part or item that exceeds it is still included. At 2 Mbit/s such a reply
+/// takes a quarter of a second, so heartbeats queued behind it are not late.
 pub const REPLY_SIZE_LIMIT: usize = 64 * 1024;
 /// The number of ranges whose digests [`ItemSet::range_digests`] returns.
 pub const RANGE_COUNT: usize = 256;
 /// The depth of these ranges in the tree.
 const RANGE_DEPTH: u8 = 2;
-/// How far a range's index is shifted to give its first key hash.
+/// Bits by which a range's index is shifted left to get its first key hash.
 const RANGE_SHIFT: u32 = 56;
 
 /// Approximate bytes on the wire of a digest.
@@ -31,16 +31,17 @@
 /// Approximate bytes on the wire of an item besides its name and value.
 const ITEM_OVERHEAD: usize = 16;
 
+/// Approximate bytes on the wire of an item.
 fn encoded_size(item: &Item) -> usize {
     ITEM_OVERHEAD + item.key.name.len() + item.value.as_ref().map_or(0, Vec::len)
 }
 
-/// Whether items are few enough to be pushed in one message. More are fetched reply by reply.
+/// Whether items are small enough in total to be pushed in one message. Otherwise the peer fetches them reply by reply.
 pub fn fits_one_message(items: &[Item]) -> bool {
     items.iter().map(encoded_size).sum::<usize>() <= REPLY_SIZE_LIMIT / 2
 }
 
-/// What a replica tells of one item.
+/// An item as it is described to another replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct DigestEntry {
     /// The hash of its key.
@@ -61,7 +62,7 @@
         /// The digests of that child and those after it; 0 for a child without items.
         digests: Vec<u64>,
     },
-    /// All items of a range.
+    /// The entries of all items of a range.
     Entries {
         /// The range.
         range: KeyRange,
@@ -73,7 +74,7 @@
 }
 
 impl SyncPart {
-    /// What a replica without items sends: it requests all of them.
+    /// The part that a replica without items sends, which requests all items.
     pub fn request_all() -> SyncPart {
         SyncPart::Entries { range: KeyRange::ALL, entries: Vec::new() }
     }
@@ -101,16 +102,16 @@
 /// A replica's reply to the parts that another has sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SyncReply {
-    /// Items that are newer here or unknown there.
+    /// Items that are newer than the other replica's, or that it lacks.
     pub items: Vec<Item>,
-    /// What to compare or send next.
+    /// Digests and entries to compare next, and requests for items.
     pub parts: Vec<SyncPart>,
     /// Approximate bytes on the wire.
     size: usize,
 }
 
 impl SyncReply {
-    /// Whether the exchange has ended.
+    /// Whether there is nothing to send, which ends the exchange.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty() && self.parts.is_empty()
     }
@@ -130,22 +131,22 @@
     }
 }
 
-/// The reply has reached its size limit before this range, from which on nothing was compared.
+/// The reply has reached its size limit. Nothing was compared from this range on.
 struct Full {
     from: KeyRange,
 }
 
-/// Adds to a reply what a tree's items have to say to parts of a request.
+/// Builds the reply to the parts of a request from the items of a tree.
 struct Responder<'a> {
     tree: &'a DigestTree,
     reply: SyncReply,
 }
 
-/// What two replicas hold of one key hash. Several keys may share it.
+/// What two replicas have under one key hash. Several keys may share it.
 #[derive(Default)]
 struct KeyHashSides<'s> {
     own: Vec<&'s Arc<Item>>,
-    /// The versions of the other replica; `None` if it holds nothing.
+    /// The versions of the other replica; `None` if it has no item of this key hash.
     theirs: Option<&'s BTreeSet<Version>>,
 }
 
@@ -236,7 +237,8 @@
             }
             return;
         }
-        // With two keys of one hash, each side sends all it has, unless the other has the same.
+        // Only one side has items, or several keys share the hash: each side sends all its items, unless the versions are
+        // equal.
         let versions: BTreeSet<Version> = own.iter().map(|item| item.version).collect();
         if theirs == Some(&versions) && versions.len() == own.len() {
             return;
@@ -259,13 +261,13 @@
         Ok(())
     }
 
-    /// Describes all from a range on by digests, so that the other's next request leads there.
+    /// Adds the digests of all ranges from this one on, so that the other replica's next request continues there.
     fn describe_rest(&mut self, from: KeyRange) {
         if from.depth() == 0 {
             return self.reply.parts.push(describe(self.tree, from));
         }
         for depth in (0..from.depth()).rev() {
-            // At the deepest level the range itself is included; above it, the child that contains it is covered already.
+            // At the deepest level the range itself is included; above it, the child that contains it is already covered.
             let first_child = from.child_index(depth) + u8::from(depth + 1 < from.depth());
             let parent = KeyRange::containing(from.first(), depth);
             let children = (first_child..FAN_OUT).filter_map(|index| parent.child(index));
@@ -285,7 +287,7 @@
     versions
 }
 
-/// What there is in a range: the digests of its children, or its items where there are few.
+/// Describes a range by the digests of its children, or by the entries of its items where it lies in a leaf.
 fn describe(tree: &DigestTree, range: KeyRange) -> SyncPart {
     let (node, _) = tree.node(range);
     if let Some(digests) = node.child_digests() {
@@ -303,7 +305,7 @@
     }
 
     /// The reply to another replica's parts. It takes about [`REPLY_SIZE_LIMIT`] bytes on the wire at most, besides the last
-    /// item; digests describe what did not fit.
+    /// item; digests describe the ranges that did not fit.
     pub fn sync_reply(&self, parts: &[SyncPart]) -> SyncReply {
         let mut parts: Vec<&SyncPart> = parts.iter().collect();
         parts.sort_by_key(|part| part.first_key_hash());
@@ -322,7 +324,7 @@
         (0..RANGE_COUNT).map(|index| self.tree().range_digest(indexed_range(index))).collect()
     }
 
-    /// The items of one of these ranges.
+    /// The items of one of the [`RANGE_COUNT`] ranges.
     pub fn items_in_range(&self, index: usize) -> Vec<&Item> {
         let range = indexed_range(index);
         let mut items = Vec::new();
@@ -334,7 +336,8 @@
         items
     }
 
-    /// The items of the ranges whose digests differ from `theirs`. A list of another length differs in all ranges.
+    /// The items of the ranges whose digests differ between `own` and `theirs`: all items if `theirs` does not have
+    /// [`RANGE_COUNT`] digests.
     pub fn items_in_differing_ranges<'a>(
         &'a self,
         own: &'a [u64],
@@ -346,6 +349,7 @@
     }
 }
 
+/// The range of an index among the [`RANGE_COUNT`] ranges.
 fn indexed_range(index: usize) -> KeyRange {
     KeyRange::containing((index as u64) << RANGE_SHIFT, RANGE_DEPTH)
 }
--- a/crates/config-state/src/digest_tree.rs
+++ b/crates/config-state/src/digest_tree.rs
@@ -1,7 +1,7 @@
 //! A Merkle tree over the items, by ranges of the hashes of their keys.
 //!
 //! Each inner node has `FAN_OUT` children, and a node of at most `LEAF_CAPACITY` items has none, so the shape of the tree
-//! depends on the items alone. The digest of a range is the sum of its items' digests: a change touches one path.
+//! depends on the items alone. The digest of a range is the sum of its items' digests, so a change updates a single path.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 
 use crate::item::Item;
 
-/// A node with more items has children.
+/// Maximum number of items in a leaf above [`MAX_DEPTH`].
 const LEAF_CAPACITY: usize = 16;
 /// Children of an inner node.
 pub(crate) const FAN_OUT: u8 = 16;
-/// Bits of a key hash that choose the child at one depth.
+/// Bits of a key hash that select the child at each depth.
 const BITS_PER_DEPTH: u32 = 4;
 /// A node at this depth has no children: its range is a single hash.
 pub(crate) const MAX_DEPTH: u8 = 16;
@@ -37,7 +37,7 @@
         KeyRange { first, depth }
     }
 
-    /// The range as the tree has it. One that a peer sent may have an odd start or depth.
+    /// The range aligned to the tree. One that a peer sent may have a start or depth that no node has.
     pub(crate) fn normalized(self) -> KeyRange {
         KeyRange::containing(self.first, self.depth)
     }
@@ -61,7 +61,7 @@
         KeyRange::containing(key_hash, self.depth) == self
     }
 
-    /// One of the ranges that this one consists of; `None` if there is no such child.
+    /// The child range of an index; `None` if there is none.
     pub(crate) fn child(self, index: u8) -> Option<KeyRange> {
         if self.depth >= MAX_DEPTH || index >= FAN_OUT {
             return None;
@@ -70,7 +70,7 @@
         Some(KeyRange { first, depth: self.depth + 1 })
     }
 
-    /// The child that contains this range's first key hash, in the node at a depth above.
+    /// The index of the child that contains this range's first key hash, in its ancestor at a depth.
     pub(crate) fn child_index(self, depth: u8) -> u8 {
         child_index(self.first, depth)
     }
@@ -80,7 +80,7 @@
     u64::BITS - BITS_PER_DEPTH * (u32::from(depth) + 1)
 }
 
-/// The child that contains a key hash, in a node at this depth.
+/// The index of the child that contains a key hash, in a node at this depth.
 fn child_index(key_hash: u64, depth: u8) -> u8 {
     (key_hash >> child_shift(depth)) as u8 & (FAN_OUT - 1)
 }
@@ -95,13 +95,13 @@
     Nodes(Box<[DigestTree; FAN_OUT as usize]>),
 }
 
-/// How much an insertion has added to a node.
+/// How an insertion has changed a node's digest and item count.
 struct Growth {
     digest: u64,
     count: usize,
 }
 
-/// A node with all that is below it.
+/// A node with its subtree.
 #[derive(Debug, Clone)]
 pub(crate) struct DigestTree {
     /// The sum of the items' digests.
@@ -122,7 +122,7 @@
         self.digest
     }
 
-    /// Inserts an item, in place of the one of the same key.
+    /// Inserts an item, replacing the one with the same key.
     pub(crate) fn insert(&mut self, item: Arc<Item>) {
         self.insert_at(0, item.key.key_hash(), item);
     }
@@ -142,7 +142,7 @@
         growth
     }
 
-    /// Gives a leaf children; an inner node stays as it is.
+    /// Turns a leaf into an inner node; an inner node does not change.
     fn split(&mut self, depth: u8) {
         let Children::Items(items) = &mut self.children else { return };
         let mut nodes: [DigestTree; FAN_OUT as usize] = Default::default();
@@ -175,7 +175,7 @@
         removed
     }
 
-    /// Makes a leaf of an inner node that has few items left.
+    /// Turns an inner node into a leaf if its items fit in one.
     fn collapse(&mut self) {
         if self.count > LEAF_CAPACITY || matches!(self.children, Children::Items(_)) {
             return;
@@ -193,7 +193,7 @@
         }
     }
 
-    /// The node that contains a range, and that node's own range: the same, or that of a leaf around it.
+    /// The node of a range, with the node's own range. Where the tree is less deep, it is the leaf that contains the range.
     pub(crate) fn node(&self, range: KeyRange) -> (&DigestTree, KeyRange) {
         let mut node = self;
         for depth in 0..range.depth() {
@@ -237,7 +237,7 @@
         (node.leaf_items(), range)
     }
 
-    /// The leaves that a range consists of, or the one around it.
+    /// The leaves within a range, or the one leaf that contains it.
     pub(crate) fn leaves(&self, range: KeyRange) -> Leaves<'_> {
         Leaves { tree: self, range, next: Some(range.first()) }
     }
@@ -257,7 +257,7 @@
     }
 }
 
-/// Iterates over the leaves of a range.
+/// Iterates over the leaves of a range in the order of key hashes.
 pub(crate) struct Leaves<'a> {
     tree: &'a DigestTree,
     range: KeyRange,
--- a/crates/config-state/src/duration.rs
+++ b/crates/config-state/src/duration.rs
@@ -5,10 +5,10 @@
 #[cfg(test)]
 mod tests;
 
-/// No duration is longer, in seconds.
+/// Maximum duration in seconds: 366 days.
 const MAX_SECONDS: f64 = 366.0 * 86_400.0;
 
-/// Parses a duration such as `1500ms` or `2.5s`. `None` for any other form, a negative number, or over a year.
+/// Parses a duration such as `1500ms` or `2.5s`. `None` for any other form, a negative number, or over 366 days.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, seconds_per_unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e-3),
--- a/crates/config-state/src/duration/tests.rs
+++ b/crates/config-state/src/duration/tests.rs
@@ -1,11 +1,11 @@
-//! Which texts are durations.
+//! Texts that are accepted and rejected as durations.
 
 use googletest::prelude::*;
 
 use super::*;
 
 #[gtest]
-fn a_number_and_its_unit_and_nothing_else() {
+fn only_a_number_with_the_unit_ms_or_s_is_accepted() {
     expect_that!(parse_duration("1500ms"), some(eq(Duration::from_millis(1500))));
     expect_that!(parse_duration("2.5s"), some(eq(Duration::from_millis(2500))));
     expect_that!(parse_duration("0ms"), some(eq(Duration::ZERO)));
--- a/crates/config-state/src/error.rs
+++ b/crates/config-state/src/error.rs
@@ -4,14 +4,14 @@
 
 use crate::json::JsonError;
 
-/// What is wrong with a value.
+/// The kind of a validation error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ValidationErrorKind {
-    /// It is invalid by itself, or beside what is live.
+    /// The value is invalid by itself or together with the live items.
     Invalid,
-    /// It may be valid, but conflicts with what was accepted before.
+    /// The value may be valid, but conflicts with what was accepted before.
     Conflict,
-    /// There is nothing of this name.
+    /// Nothing of this name exists.
     NotFound,
 }
 
@@ -21,9 +21,9 @@
 pub struct ValidationError {
     /// A JSON pointer to the value; for an item that is live already, its kind and name.
     pub location: String,
-    /// What is wrong, or what is wanted instead.
+    /// What is wrong, or what is expected instead.
     pub reason: String,
-    /// What kind of error it is.
+    /// The kind of the error.
     pub kind: ValidationErrorKind,
 }
 
@@ -39,12 +39,12 @@
         ValidationError { kind: ValidationErrorKind::Conflict, ..ValidationError::invalid(location, reason) }
     }
 
-    /// A name that stands for nothing.
+    /// A name that does not exist.
     pub fn not_found(location: impl Into<String>, reason: impl Into<String>) -> ValidationError {
         ValidationError { kind: ValidationErrorKind::NotFound, ..ValidationError::invalid(location, reason) }
     }
 
-    /// Whether it conflicts with what was accepted before.
+    /// Whether the value conflicts with what was accepted before.
     pub fn is_conflict(&self) -> bool {
         self.kind == ValidationErrorKind::Conflict
     }
--- a/crates/config-state/src/execution.rs
+++ b/crates/config-state/src/execution.rs
@@ -5,10 +5,11 @@
 #[cfg(test)]
 mod tests;
 
-/// What is known of a request's execution by a server. It only ever grows: nothing takes back what was sent.
+/// What is known about a request's execution by a server. It only ever rises: a request that was sent cannot be recalled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum ExecutionStatus {
-    /// Not executed, and it never will be: nothing was sent, or each server that had it has said that it did not execute it.
+    /// Not executed, and it never will be: nothing was sent, or each server that received it has reported that it did not
+    /// execute it.
     #[default]
     NotExecuted,
     /// It may have been executed, or may yet be.
@@ -18,7 +19,7 @@
 }
 
 impl ExecutionStatus {
-    /// What is known once another attempt's status is known as well.
+    /// The status of a request after two attempts with these statuses.
     #[must_use]
     pub fn combine(self, other: ExecutionStatus) -> ExecutionStatus {
         self.max(other)
--- a/crates/config-state/src/execution/tests.rs
+++ b/crates/config-state/src/execution/tests.rs
@@ -1,20 +1,20 @@
-//! What each execution status allows.
+//! How statuses combine, and which answers and retries each one allows.
 
 use googletest::prelude::*;
 
 use super::ExecutionStatus::*;
 
 #[gtest]
-fn nothing_takes_back_what_was_sent() {
+fn the_higher_status_prevails_and_decides_on_rejection_and_retry() {
     expect_that!(NotExecuted.combine(MayHaveExecuted).combine(NotExecuted), eq(MayHaveExecuted));
     expect_that!(MayHaveExecuted.combine(Executed), eq(Executed));
     expect_that!(
-        [NotExecuted, MayHaveExecuted, Executed].map(|v| v.allows_rejection()),
+        [NotExecuted, MayHaveExecuted, Executed].map(|status| status.allows_rejection()),
         eq([true, false, false])
     );
     expect_that!(
-        [NotExecuted, MayHaveExecuted, Executed].map(|v| v.allows_retry(false)),
+        [NotExecuted, MayHaveExecuted, Executed].map(|status| status.allows_retry(false)),
         eq([true, false, false])
     );
-    expect_that!([MayHaveExecuted, Executed].map(|v| v.allows_retry(true)), eq([true, true]));
+    expect_that!([MayHaveExecuted, Executed].map(|status| status.allows_retry(true)), eq([true, true]));
 }
--- a/crates/config-state/src/hash.rs
+++ b/crates/config-state/src/hash.rs
@@ -1,4 +1,4 @@
-//! Hashes that are equal in every process, and rendezvous hashing on top of them.
+//! Hashes that are the same in every process, and rendezvous hashing on top of them.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +7,7 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 /// FNV-1a prime.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Hashed after each part, so that `["ab", "c"]` and `["a", "bc"]` differ. It is no byte.
+/// Hashed after each part, so that `["ab", "c"]` and `["a", "bc"]` differ. No byte has this value.
 const SEPARATOR: u64 = 0x1ff;
 
 /// Hashes a sequence of byte strings: FNV-1a, finalized by [`mix64`] for good upper bits.
@@ -29,8 +29,8 @@
     z ^ (z >> 31)
 }
 
-/// The candidates in the order of their weights for a key (rendezvous hashing, Thaler and Ravishankar, 1998). The first owns
-/// the key. When a candidate goes, only the keys that it owned move.
+/// The candidates in descending order of their weights for a key (rendezvous hashing, Thaler and Ravishankar, 1998). The
+/// first owns the key. When a candidate is removed, only the keys that it owned move.
 pub fn rendezvous_order<'a, T: AsRef<str> + ?Sized>(
     key: &str,
     candidates: impl IntoIterator<Item = &'a T>,
--- a/crates/config-state/src/item.rs
+++ b/crates/config-state/src/item.rs
@@ -13,21 +13,21 @@
     Tenant,
     /// A service of the configuration.
     Service,
-    /// The configuration's only item of request limits.
+    /// The request limits of the configuration, a single item.
     Limits,
     /// One incarnation of a backend server, as it last reported itself.
     Server,
-    /// A node of this system.
+    /// A node of the gateway.
     Node,
-    /// Which versions of a service's servers have its requests.
+    /// The rollout state of a service: which software versions of its servers get its requests.
     Rollout,
 }
 
 impl Kind {
-    /// The kinds that the stores agree on: the operator's configuration and the rollouts.
+    /// The kinds whose items the stores decide by consensus: the operators' configuration and the rollouts.
     pub const CONFIG: [Kind; 5] = [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits, Kind::Rollout];
 
-    /// Whether the stores agree on items of this kind.
+    /// Whether the stores decide items of this kind by consensus.
     pub fn is_config(self) -> bool {
         Kind::CONFIG.contains(&self)
     }
@@ -43,12 +43,12 @@
 }
 
 impl Key {
-    /// The key of an item.
+    /// The key of the item of a kind and name.
     pub fn new(kind: Kind, name: impl Into<String>) -> Key {
         Key { kind, name: name.into() }
     }
 
-    /// A hash that stands for the key in digests and in heartbeats between registries. Equal in every process.
+    /// The hash that identifies the key in digests and in heartbeats between registries. It is the same in every process.
     pub fn key_hash(&self) -> u64 {
         hash::hash_parts(&[&[self.kind as u8], self.name.as_bytes()])
     }
@@ -64,7 +64,7 @@
 }
 
 impl Version {
-    /// A version of these parts.
+    /// The version of a revision and a tie-breaker.
     pub fn new(revision: u64, tie_breaker: u64) -> Version {
         Version { revision, tie_breaker }
     }
@@ -82,7 +82,7 @@
 }
 
 impl Item {
-    /// An item with its source's revision. The content breaks ties; a tombstone is higher than any content.
+    /// An item with its source's revision. The hash of the content breaks ties; a tombstone is higher than any content.
     pub fn with_revision(key: Key, revision: u64, value: Option<Vec<u8>>) -> Item {
         let tie_breaker = value.as_ref().map_or(u64::MAX, |content| hash::hash_parts(&[content]) >> 1);
         Item { key, version: Version { revision, tie_breaker }, value }
--- a/crates/config-state/src/item_set.rs
+++ b/crates/config-state/src/item_set.rs
@@ -1,4 +1,4 @@
-//! A replica of the items.
+//! A replica: the newest known version of each item.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -94,14 +94,14 @@
         self.items.iter().map(|item| &*item.0)
     }
 
-    /// The items of a kind that are no tombstones: name and content.
+    /// The name and content of each item of a kind that is not a tombstone, in the order of names.
     pub fn live(&self, kind: Kind) -> impl Iterator<Item = (&str, &[u8])> {
-        let from_kind = self.items.range(Key::new(kind, "")..).map(|item| &*item.0);
-        let of_kind = from_kind.take_while(move |item| item.key.kind == kind);
+        let from_first = self.items.range(Key::new(kind, "")..).map(|item| &*item.0);
+        let of_kind = from_first.take_while(move |item| item.key.kind == kind);
         of_kind.filter_map(|item| Some((item.key.name.as_str(), item.value.as_deref()?)))
     }
 
-    /// Inserts an item if it is newer than the one of its key; returns whether it was.
+    /// Inserts an item if it is newer than the one with its key; returns whether it was.
     pub fn merge(&mut self, item: Item) -> bool {
         if self.get(&item.key).is_some_and(|old| old.version >= item.version) {
             return false;
@@ -117,7 +117,7 @@
         items.into_iter().filter(|item| self.merge(item.clone())).collect()
     }
 
-    /// Removes an item without leaving a tombstone: a replica that still has it may bring it back.
+    /// Removes an item without leaving a tombstone: a replica that still has it may replicate it back.
     pub fn remove(&mut self, key: &Key) {
         if let Some(item) = self.items.take(key) {
             self.tree.remove(&item.0);
--- a/crates/config-state/src/item_set/tests.rs
+++ b/crates/config-state/src/item_set/tests.rs
@@ -1,4 +1,4 @@
-//! Replicas merge to the same items, whatever the order.
+//! Replicas converge to the same items, whatever the order of arrival.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -6,37 +6,37 @@
 use super::*;
 
 fn items() -> impl Strategy<Value = Vec<Item>> {
-    let one = (0..6_u8, 0..5_u64, proptest::option::of(0..3_u8));
-    proptest::collection::vec(one, 0..40).prop_map(|all| {
+    let fields = (0..6_u8, 0..5_u64, proptest::option::of(0..3_u8));
+    proptest::collection::vec(fields, 0..40).prop_map(|list| {
         let item = |(name, revision, value): (u8, u64, Option<u8>)| {
             let kind = if name % 2 == 0 { Kind::Route } else { Kind::Tenant };
-            Item::with_revision(Key::new(kind, format!("n{name}")), revision, value.map(|v| vec![v]))
+            Item::with_revision(Key::new(kind, format!("n{name}")), revision, value.map(|byte| vec![byte]))
         };
-        all.into_iter().map(item).collect()
+        list.into_iter().map(item).collect()
     })
 }
 
 proptest! {
     #[test]
-    fn the_order_in_which_items_come_tells_nothing(mut all in items(), other in items()) {
-        let copy = |items: &[Item]| {
+    fn replicas_converge_to_the_newest_versions_in_any_order(mut all in items(), other in items()) {
+        let replica = |items: &[Item]| {
             let mut item_set = ItemSet::default();
             item_set.merge_all(items.iter().cloned());
             item_set
         };
-        let first = copy(&all);
+        let first = replica(&all);
         all.reverse();
-        let again: Vec<Item> = all.iter().chain(&all).cloned().collect();
-        let second = copy(&again);
+        let repeated: Vec<Item> = all.iter().chain(&all).cloned().collect();
+        let second = replica(&repeated);
         prop_assert_eq!(first.digest(), second.digest());
         prop_assert!(first.iter().eq(second.iter()));
-        // A digest that differs is mended by words each way, and nothing that is newer is lost.
-        let (mut left, mut right) = (first, copy(&other));
+        // Anti-entropy makes replicas with different digests equal, and neither loses a newer version.
+        let (mut left, mut right) = (first, replica(&other));
         let mut parts = if left.digest() == right.digest() { Vec::new() } else { left.sync_request() };
         while !parts.is_empty() {
-            let answer = right.sync_reply(&parts);
-            left.merge_all(answer.items);
-            parts = answer.parts;
+            let reply = right.sync_reply(&parts);
+            left.merge_all(reply.items);
+            parts = reply.parts;
             std::mem::swap(&mut left, &mut right);
         }
         prop_assert_eq!(left.digest(), right.digest());
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn what_is_dropped_stays_dropped_until_a_higher_version() {
+fn a_removed_item_stays_removed_until_a_higher_revision() {
     let mut item_set = ItemSet::default();
     let key = Key::new(Kind::Route, "r");
     let item =
--- a/crates/config-state/src/json.rs
+++ b/crates/config-state/src/json.rs
@@ -1,9 +1,9 @@
-//! JSON from outside, checked against bounds before a parser sees it.
+//! Untrusted JSON, checked against bounds before it is parsed.
 //!
-//! The parser recurses once for each level of nesting, and a text of a few hundred kilobytes can hold more levels than a
-//! stack has room for; an overflow ends the process and cannot be caught. So [`parse`] first scans the text once, without
-//! recursion, and checks its length, its nesting, the number of its values, and names that occur twice in one object, of
-//! which a reader would silently take one.
+//! The parser recurses once for each level of nesting, and a text of a few hundred kilobytes can hold more levels than
+//! fit on the stack; a stack overflow ends the process and cannot be caught. So [`parse`] first scans the text once,
+//! without recursion, and checks its length, its nesting, the number of its values, and names that occur twice in one
+//! object, of which a parser would silently keep one.
 
 use std::borrow::Cow;
 use std::collections::HashSet;
@@ -11,7 +11,7 @@
 use sonic_rs::Value;
 use thiserror::Error;
 
-/// Bounds on a text.
+/// Bounds on a JSON text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Maximum length, in bytes.
@@ -20,20 +20,20 @@
     pub depth: usize,
     /// Maximum number of values, names of fields included.
     pub values: usize,
-    /// Whether a name may occur only once in an object.
+    /// Whether names must be unique within an object.
     pub unique: bool,
 }
 
-/// Bounds on an operator's call. The deepest value that is read is nested 7 deep. The parser takes 16 bytes and more for a
-/// value, so a text of short values takes many times its length; a real call has 7 bytes for a value.
+/// Bounds on an operator's call. The deepest value that is read is nested 7 levels deep. The parser allocates 16 bytes or
+/// more per value, so a text of short values takes many times its length in memory; a real call has 7 bytes per value.
 pub const OPERATOR_CALL: Bounds = Bounds { bytes: 8 << 20, depth: 128, values: 2 << 20, unique: true };
 /// Bounds on a server's heartbeat.
 pub const HEARTBEAT: Bounds = Bounds { bytes: 64 << 10, depth: 16, values: 1_024, unique: true };
-/// Bounds on an item's stored text and on the answer to a read. They allow what a call may bring; items that earlier releases
-/// accepted may hold a name twice.
+/// Bounds on an item's stored text and on the answer to a read. They allow all that a call may contain; items that earlier
+/// releases accepted may contain a name twice.
 pub const STORED: Bounds = Bounds { bytes: 64 << 20, depth: 128, values: 16 << 20, unique: false };
 
-/// Length up to which a duplicate name is shown in an error, in characters.
+/// Maximum number of characters of a duplicate name that an error shows.
 const SHOWN_NAME_LENGTH: usize = 64;
 
 /// Why a text is rejected.
@@ -43,25 +43,25 @@
     #[error("it is over {0} bytes long")]
     TooLong(usize),
     /// It is nested too deeply.
-    #[error("at byte {at}: nested over {most} deep")]
+    #[error("at byte {byte_offset}: nested over {max_depth} deep")]
     TooDeep {
         /// The offset of the level that exceeds the bound, in bytes.
-        at: usize,
+        byte_offset: usize,
         /// The bound.
-        most: usize,
+        max_depth: usize,
     },
-    /// It holds more values than the bound.
+    /// It contains more values than the bound.
     #[error("it holds over {0} values")]
     TooManyValues(usize),
-    /// An object holds a name twice.
-    #[error("at byte {at}: {name:?} stands twice in one object")]
+    /// An object contains a name twice.
+    #[error("at byte {byte_offset}: {name:?} stands twice in one object")]
     DuplicateName {
         /// The offset of the second occurrence, in bytes.
-        at: usize,
+        byte_offset: usize,
         /// The name.
         name: String,
     },
-    /// It is not JSON; the parser's reason.
+    /// It is not well-formed JSON; the parser's reason.
     #[error("no whole JSON: {0}")]
     Malformed(String),
 }
@@ -73,14 +73,14 @@
     }
 }
 
-/// Parses a text that is within the bounds.
+/// Checks the bounds, then parses the text.
 pub fn parse(text: &[u8], bounds: &Bounds) -> Result<Value, JsonError> {
     check(text, bounds)?;
     sonic_rs::from_slice(text).map_err(|error| JsonError::Malformed(error.to_string()))
 }
 
-/// Checks the bounds alone. Malformed text may pass: up to the first byte at which a parser stops, the scan sees the same
-/// arrays, objects and strings.
+/// Checks the bounds alone. Malformed text may pass: up to the byte at which the parser would stop, the scan sees the same
+/// arrays, objects and strings as the parser.
 pub fn check(text: &[u8], bounds: &Bounds) -> Result<(), JsonError> {
     if text.len() > bounds.bytes {
         return Err(JsonError::TooLong(bounds.bytes));
@@ -88,23 +88,23 @@
     Scanner { text, offset: 0, values: 0, open: Vec::new(), bounds }.scan()
 }
 
-/// An array or object that has not ended yet.
+/// An array or object that is still open.
 enum Container<'a> {
     Array,
     Object(Names<'a>),
 }
 
-/// The names that an object has had so far.
+/// The names seen so far in an object.
 #[derive(Default)]
 struct Names<'a> {
-    /// Up to [`LINEAR_SEARCH_MOST`] names are compared one by one.
+    /// Up to [`LINEAR_SEARCH_LIMIT`] names are compared one by one.
     list: Vec<Cow<'a, [u8]>>,
     /// All names, once there are more.
     set: HashSet<Cow<'a, [u8]>>,
 }
 
 /// The number of names up to which a list is searched.
-const LINEAR_SEARCH_MOST: usize = 16;
+const LINEAR_SEARCH_LIMIT: usize = 16;
 
 impl<'a> Names<'a> {
     /// Adds a name; returns whether it is new.
@@ -113,7 +113,7 @@
             if self.list.contains(&name) {
                 return false;
             }
-            if self.list.len() < LINEAR_SEARCH_MOST {
+            if self.list.len() < LINEAR_SEARCH_LIMIT {
                 self.list.push(name);
                 return true;
             }
@@ -131,6 +131,7 @@
     matches!(byte, b',' | b':' | b'[' | b']' | b'{' | b'}' | b'"')
 }
 
+/// Scans a text without recursion.
 struct Scanner<'a, 'b> {
     text: &'a [u8],
     offset: usize,
@@ -143,16 +144,16 @@
     fn scan(mut self) -> Result<(), JsonError> {
         while let Some(&byte) = self.text.get(self.offset) {
             match byte {
-                b'"' => self.string()?,
-                b'{' => self.begin(Container::Object(Names::default()))?,
-                b'[' => self.begin(Container::Array)?,
+                b'"' => self.scan_string()?,
+                b'{' => self.enter(Container::Object(Names::default()))?,
+                b'[' => self.enter(Container::Array)?,
                 b'}' | b']' => {
                     self.open.pop();
                     self.offset += 1;
                 }
                 b',' | b':' => self.offset += 1,
                 byte if is_whitespace(byte) => self.offset += 1,
-                _ => self.scalar()?,
+                _ => self.scan_scalar()?,
             }
         }
         Ok(())
@@ -166,18 +167,18 @@
         Ok(())
     }
 
-    fn begin(&mut self, container: Container<'a>) -> Result<(), JsonError> {
+    fn enter(&mut self, container: Container<'a>) -> Result<(), JsonError> {
         self.count_value()?;
         if self.open.len() >= self.bounds.depth {
-            return Err(JsonError::TooDeep { at: self.offset, most: self.bounds.depth });
+            return Err(JsonError::TooDeep { byte_offset: self.offset, max_depth: self.bounds.depth });
         }
         self.open.push(container);
         self.offset += 1;
         Ok(())
     }
 
-    /// A number, `true`, `false` or `null`: up to the next byte that cannot be part of one.
-    fn scalar(&mut self) -> Result<(), JsonError> {
+    /// Scans a number, `true`, `false` or `null`: up to the next byte that cannot be part of one.
+    fn scan_scalar(&mut self) -> Result<(), JsonError> {
         self.count_value()?;
         let rest = &self.text[self.offset..];
         let length = rest.iter().position(|&byte| is_structural(byte) || is_whitespace(byte));
@@ -185,27 +186,27 @@
         Ok(())
     }
 
-    /// A string, which is a name if a colon follows.
-    fn string(&mut self) -> Result<(), JsonError> {
+    /// Scans a string, which is a name if a colon follows.
+    fn scan_string(&mut self) -> Result<(), JsonError> {
         self.count_value()?;
-        let begin = self.offset;
+        let start = self.offset;
         let Some(has_escapes) = self.skip_string() else { return Ok(()) };
-        let quoted = &self.text[begin..self.offset];
+        let quoted = &self.text[start..self.offset];
         let next = self.text[self.offset..].iter().find(|&&byte| !is_whitespace(byte));
         match self.open.last_mut() {
             Some(Container::Object(names)) if next == Some(&b':') && self.bounds.unique => {
-                let plain = || Cow::Borrowed(&quoted[1..quoted.len() - 1]);
-                let name = if has_escapes { unescape(quoted) } else { plain() };
-                let shown = String::from_utf8_lossy(&name).chars().take(SHOWN_NAME_LENGTH).collect();
-                let error = JsonError::DuplicateName { at: begin, name: shown };
+                let without_quotes = || Cow::Borrowed(&quoted[1..quoted.len() - 1]);
+                let name = if has_escapes { unescape(quoted) } else { without_quotes() };
+                let excerpt = String::from_utf8_lossy(&name).chars().take(SHOWN_NAME_LENGTH).collect();
+                let error = JsonError::DuplicateName { byte_offset: start, name: excerpt };
                 names.insert(name).then_some(()).ok_or(error)
             }
             _ => Ok(()),
         }
     }
 
-    /// Moves past the closing quote; returns whether the string holds escapes. `None` if it does not end, which the parser
-    /// reports.
+    /// Moves past the closing quote; returns whether the string contains escapes. `None` if it does not end, which the
+    /// parser reports.
     fn skip_string(&mut self) -> Option<bool> {
         let mut has_escapes = false;
         self.offset += 1;
--- a/crates/config-state/src/lib.rs
+++ b/crates/config-state/src/lib.rs
@@ -5,13 +5,13 @@
 //!
 //! - [`item`], [`item_set`]: items and a replica of them.
 //! - [`digest_tree`], [`anti_entropy`]: finding and closing the difference between two replicas.
-//! - [`operator_call`], [`json`], [`duration`], [`request_syntax`]: reading what operators send.
-//! - [`validation`]: whether an update may be applied on top of what is live.
+//! - [`operator_call`], [`json`], [`duration`], [`request_syntax`]: parsing of operators' calls.
+//! - [`validation`]: validation of an update against the live items.
 //! - [`resources`], [`routing_table`]: routes, tenants and services as the data plane uses them.
-//! - [`server`]: backend servers as they report themselves.
-//! - [`rollout`]: which versions of a service's servers have its requests.
+//! - [`server`]: backend servers as their heartbeats report them.
+//! - [`rollout`]: which software versions of a service's servers get its requests.
 //! - [`execution`]: whether a request may have been executed.
-//! - [`hash`]: hashes that are equal in every process.
+//! - [`hash`]: hashes that are the same in every process.
 
 pub mod anti_entropy;
 pub mod digest_tree;
--- a/crates/config-state/src/operator_call.rs
+++ b/crates/config-state/src/operator_call.rs
@@ -1,4 +1,4 @@
-//! The operator's calls as items, and items as the answer to a read.
+//! Parsing of `config.update` calls into items, and rendering of items as the answer to `config.read`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -13,10 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-/// No item's name is longer, in bytes.
+/// Maximum length of an item's name, in bytes.
 pub const MAX_NAME_LENGTH: usize = 1_024;
 
-/// The name of the only item of limits.
+/// The name of the single limits item.
 pub const LIMITS_NAME: &str = "limits";
 
 /// The lists of a call, and the kind of their items.
@@ -26,13 +26,13 @@
 /// Fields of a record or of an object, by name.
 type Fields<'a> = BTreeMap<&'a str, &'a Value>;
 
-/// Parses the body of a `config.update` call into items with their versions. Whether they fit each other and what is live is
-/// checked by [`crate::validation`].
+/// Parses the body of a `config.update` call into items with their versions. [`crate::validation`] checks whether they are
+/// consistent with each other and with the live items.
 pub fn parse_update(body: &[u8]) -> Result<Vec<Item>, ValidationError> {
     parse_update_within(body, &json::OPERATOR_CALL)
 }
 
-/// As [`parse_update`], within other bounds: a whole configuration may be larger than one call.
+/// As [`parse_update`], within other bounds: a complete configuration may be larger than one call.
 pub fn parse_update_within(body: &[u8], bounds: &Bounds) -> Result<Vec<Item>, ValidationError> {
     let call = json::parse(body, bounds)?;
     if !call.is_object() {
@@ -180,7 +180,7 @@
     revision.ok_or_else(error)
 }
 
-/// The text that an item holds: one JSON object, its fields by name.
+/// The stored text of an item: a JSON object with the fields in the order of their names.
 fn to_item_text(fields: &Fields, location: &str) -> Result<Vec<u8>, ValidationError> {
     sonic_rs::to_vec(fields).map_err(|error| ValidationError::invalid(location, error.to_string()))
 }
--- a/crates/config-state/src/request_syntax.rs
+++ b/crates/config-state/src/request_syntax.rs
@@ -1,17 +1,17 @@
-//! Whether what a change brings can occur in a request at all.
+//! Whether the tenant names, API keys and path prefixes of a changed item can occur in a request at all.
 //!
-//! This is checked for what is new in a call, and not for what is live: an item that an earlier release accepted is still
-//! read, and its change, sent again, is acknowledged again.
+//! Only items that are new in a call are checked, not the live ones: an item that an earlier release accepted stays in use,
+//! and the call that set it, sent again, is acknowledged again.
 
 use crate::error::ValidationError;
 use crate::item::{Item, Kind};
 use crate::operator_call::MAX_NAME_LENGTH;
 use crate::resources::{Route, Tenant};
 
-/// No API key is longer, in bytes: the protocol lets clients send heads of this length.
+/// Maximum length of an API key in bytes: the length of the request heads that the protocol lets clients send.
 pub const MAX_KEY_LENGTH: usize = 16 * 1024;
 
-/// Checks that requests can carry what an item names.
+/// Checks the length of an item's name, and that requests can contain its tenant name, API keys or path prefix.
 pub fn check_request_syntax(item: &Item) -> Result<(), ValidationError> {
     let name = &item.key.name;
     let error = |field: &str, reason: &str| {
@@ -19,7 +19,7 @@
     };
     let Some(text) = &item.value else { return Ok(()) };
     if name.len() > MAX_NAME_LENGTH {
-        // The error does not repeat the name: the answer would be as long.
+        // The error does not repeat the name, which would make the answer as long.
         return Err(ValidationError::invalid(
             "",
             format!("a name of at most {MAX_NAME_LENGTH} bytes is wanted"),
@@ -46,7 +46,7 @@
 }
 
 /// Whether a client can send the key. Bytes over 0x7f are allowed. U+FFFD is not: invalid UTF-8 is read as that character, so
-/// a key that holds it would match bytes that are not its own.
+/// a key that contains it would match other bytes as well.
 fn is_credential(key: &str) -> bool {
     let is_blank = |c: char| c == ' ' || c == '\t';
     let is_allowed = |c: char| c == '\t' || !c.is_ascii_control() && c != char::REPLACEMENT_CHARACTER;
--- a/crates/config-state/src/resources.rs
+++ b/crates/config-state/src/resources.rs
@@ -18,7 +18,7 @@
 pub enum RouteType {
     /// They are idempotent.
     Safe,
-    /// At most once for each attempt of a client.
+    /// They are executed at most once for each attempt of a client.
     Unsafe,
 }
 
@@ -38,15 +38,15 @@
     pub name: String,
     /// The host whose requests it serves, in lower case.
     pub host: String,
-    /// The prefix of their paths; begins and ends with a slash.
+    /// The prefix of the paths that it serves; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether they may be executed more than once.
+    /// Whether its requests may be executed more than once.
     pub route_type: RouteType,
-    /// The longest that a request is held.
+    /// The maximum time for which a request is held before it is answered.
     pub timeout: Duration,
     /// The latency target.
     pub latency_target: Duration,
-    /// The rank of its requests; 0 is the highest.
+    /// The priority of its requests; 0 is the highest.
     pub priority: u64,
     /// The number of servers that one attempt of a client may be sent to.
     pub max_attempts: u64,
@@ -63,9 +63,9 @@
     pub name: String,
     /// Its API keys.
     pub api_keys: Vec<String>,
-    /// The rank of its requests, which precedes the route's.
+    /// The priority of its requests, which takes precedence over the route's.
     pub priority: Option<u64>,
-    /// Its quota in requests a second, over all nodes together; 0 for none.
+    /// Its quota in requests per second, over all nodes together; 0 for none.
     pub rate: f64,
     /// The burst on top of the rate, in requests.
     pub burst: f64,
@@ -78,18 +78,18 @@
     pub name: String,
     /// The path of its servers' health checks.
     pub health_path: String,
-    /// Connections that one of its servers accepts from all callers together; 0 if not known.
+    /// The number of connections that one of its servers accepts from all callers together; 0 if unknown.
     pub max_connections: u64,
 }
 
 /// Limits on what clients may send.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Maximum size of a head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// Maximum size of a body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// How long a head may take.
+    /// Maximum time to receive a request head.
     pub header_timeout: Duration,
     /// How long a connection may be idle.
     pub idle_timeout: Duration,
@@ -254,7 +254,7 @@
 }
 
 impl Limits {
-    /// Parses the text of the item of limits.
+    /// Parses the text of the limits item.
     pub fn parse(text: &[u8]) -> Result<Limits, ValidationError> {
         let fields = Fields::parse(Kind::Limits, LIMITS_NAME, text)?;
         let default = Limits::default();
--- a/crates/config-state/src/rollout.rs
+++ b/crates/config-state/src/rollout.rs
@@ -1,7 +1,8 @@
-//! Rollouts: a service's requests move from the versions that have them to a new one, in stages.
+//! Rollouts: a service's requests move in stages from the current software versions of its servers to a new one.
 //!
-//! What is decided about a service's versions is one item, [`Rollout`], which changes only by [`RolloutChange::apply`] on top of
-//! what a quorum of the stores holds. So a rollout ends once, as finished or as reverted, whoever proposes it.
+//! The rollout state of a service is one item, [`Rollout`], which changes only by [`RolloutChange::apply`] on top of the
+//! state that a quorum of the stores holds. So a rollout ends once, as finished or as reverted, whichever process proposes
+//! the end.
 
 use std::time::Duration;
 
@@ -17,27 +18,27 @@
 #[cfg(test)]
 mod tests;
 
-/// No item is longer, in bytes.
+/// Maximum encoded length of a rollout state, in bytes.
 const MAX_ENCODED_LENGTH: usize = 64 * 1024;
-/// So many versions may have a service's requests when a rollout begins.
+/// Maximum number of versions in a baseline.
 const MAX_STABLE_VERSIONS: usize = 16;
-/// An order that comes again within this time, in milliseconds, is a repetition by a caller that has not had the answer.
-const REPEAT_WINDOW_MS: u64 = 20_000;
+/// An order that is repeated within this time, in milliseconds, is a retry by a caller that has not received the answer.
+const RETRY_WINDOW_MS: u64 = 20_000;
 
-/// How far a rollout has come. The order is part of the encoding on the wire and on disk.
+/// The stage of a rollout. The order is part of the encoding on the wire and on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Stage {
-    /// No rollout has been ordered: it is known which versions have the requests.
+    /// No rollout has been ordered; the versions that get the requests are recorded.
     Baseline,
     /// The target gets a small part of the requests.
     Canary,
     /// The target gets a growing part.
     Ramp,
-    /// The target gets all new requests; others complete what they have.
+    /// The target gets all new requests; the other versions complete those they have received.
     Cutover,
-    /// The target alone has the requests, and nothing is left at the others.
+    /// The target gets all requests, and the other versions have completed theirs.
     Finished,
-    /// The target gets nothing any more.
+    /// The target gets no more requests.
     Reverted,
 }
 
@@ -47,8 +48,8 @@
         matches!(self, Stage::Canary | Stage::Ramp | Stage::Cutover)
     }
 
-    /// Whether a rollout may go on from here to another stage.
-    fn leads_to(self, next: Stage) -> bool {
+    /// Whether a rollout may move from this stage to `next`.
+    fn can_advance_to(self, next: Stage) -> bool {
         match next {
             Stage::Baseline | Stage::Canary => false,
             Stage::Ramp => self == Stage::Canary,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The state as operators are told it; `None` if there is no rollout.
+    /// The state in answers to operators; `None` if there is no rollout.
     fn public_name(self) -> Option<&'static str> {
         match self {
             Stage::Baseline => None,
@@ -72,28 +73,28 @@
 /// Whether a version may be sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionAccess {
-    /// It may.
+    /// It may be sent requests.
     Open,
-    /// Only by a permit of the registry that has the duty for the rollout.
+    /// Only with a permit of the registry that is in charge of the rollout.
     ByPermit,
-    /// It may not.
+    /// It may not be sent requests.
     Closed,
 }
 
-/// What is decided about the versions of a service.
+/// The rollout state of a service: which versions of its servers get its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Rollout {
-    /// How far it has come.
+    /// The stage.
     pub stage: Stage,
-    /// The version that the requests move to; empty without a rollout.
+    /// The version that the requests move to; empty in the baseline.
     pub target: String,
-    /// The versions that had the requests before.
+    /// The versions that get the requests before the cutover and after a revert.
     pub stable: Vec<String>,
-    /// Tells one order from another: the revision of the item at which it was accepted.
+    /// Identifies the order: the item's revision at which it was accepted.
     pub order: u64,
-    /// When the order was accepted, by the time of day, in milliseconds.
+    /// The wall-clock time at which the order was accepted, in milliseconds.
     pub ordered_at_ms: u64,
-    /// How long it may take, in milliseconds.
+    /// The time that the rollout may take, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -109,12 +110,12 @@
         bincode::decode_from_slice(value, config).ok().map(|(rollout, _)| rollout)
     }
 
-    /// The rollout that an item holds.
+    /// The rollout state that an item holds; `None` if it is a tombstone or cannot be decoded.
     pub fn of(item: &Item) -> Option<Rollout> {
         item.value.as_deref().and_then(Rollout::decode)
     }
 
-    /// The item of a service.
+    /// The item of a service that holds this state.
     pub fn to_item(&self, service: &str, revision: u64) -> Item {
         let value = bincode::encode_to_vec(self, bincode::config::standard()).ok();
         Item::with_revision(Rollout::key(service), revision, value)
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The versions that have the requests if nothing else is ordered.
+    /// The versions that may be sent requests without a permit.
     pub fn open_versions(&self) -> Vec<String> {
         match self.stage {
             Stage::Cutover | Stage::Finished => vec![self.target.clone()],
@@ -148,14 +149,14 @@
     }
 }
 
-/// An operator's order.
+/// An operator's order to start a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct RolloutOrder {
     /// The service.
     pub service: String,
     /// The version that its requests move to.
     pub target: String,
-    /// How long that may take, in milliseconds.
+    /// The time that the rollout may take, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -166,53 +167,53 @@
     /// If a field is missing or invalid.
     pub fn parse(body: &[u8]) -> Result<RolloutOrder, ValidationError> {
         let fields = json::parse(body, &json::HEARTBEAT)?;
-        let deadline = text(&fields, "deadline")?;
+        let deadline = text_field(&fields, "deadline")?;
         let deadline = parse_duration(deadline).filter(|deadline| !deadline.is_zero());
         let error = || ValidationError::invalid("/deadline", "a time such as 12s is wanted");
         Ok(RolloutOrder {
-            service: text(&fields, "service")?.into(),
-            target: text(&fields, "target_version")?.into(),
+            service: text_field(&fields, "service")?.into(),
+            target: text_field(&fields, "target_version")?.into(),
             deadline_ms: deadline.as_ref().map(Duration::as_millis).ok_or_else(error)? as u64,
         })
     }
 }
 
-fn text<'a>(fields: &'a Value, name: &str) -> Result<&'a str, ValidationError> {
+fn text_field<'a>(fields: &'a Value, name: &str) -> Result<&'a str, ValidationError> {
     let found = fields.get(name).and_then(|value| value.as_str());
     let text = found.filter(|text| !text.is_empty() && text.len() <= MAX_NAME_LENGTH);
     text.ok_or_else(|| ValidationError::invalid(format!("/{name}"), "a text is wanted"))
 }
 
-/// A change of what is decided about a service's versions.
+/// A proposed change of a service's rollout state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum RolloutChange {
-    /// These versions have the service's requests, unless a rollout has decided that already.
+    /// Records the versions that get the service's requests, unless a rollout has been ordered.
     SetBaseline {
         /// The service.
         service: String,
         /// Its versions.
         versions: Vec<String>,
     },
-    /// An operator's order.
+    /// Starts a rollout.
     Start {
-        /// The order.
+        /// The operator's order.
         order: RolloutOrder,
-        /// The time of day, in milliseconds.
+        /// The wall-clock time of the order, in milliseconds.
         ordered_at_ms: u64,
     },
-    /// A rollout goes on to a stage.
+    /// Moves a rollout to another stage.
     Advance {
         /// The service.
         service: String,
-        /// The revision of the item that this was decided on.
+        /// The revision of the item that the decision is based on.
         revision: u64,
-        /// The stage.
+        /// The next stage.
         stage: Stage,
     },
 }
 
 impl RolloutChange {
-    /// The service that it is about.
+    /// The service that the change concerns.
     pub fn service(&self) -> &str {
         match self {
             RolloutChange::SetBaseline { service, .. } | RolloutChange::Advance { service, .. } => service,
@@ -220,10 +221,10 @@
         }
     }
 
-    /// The item to commit on top of what is live; `None` if the change holds already.
+    /// The item to commit on top of the live ones; `None` if the change is already in effect.
     ///
     /// # Errors
-    /// If the change does not fit what is live: nothing of it is in force or will be.
+    /// If the change conflicts with the live items. It has not taken effect and will not.
     pub fn apply<'a>(
         &self,
         live: impl Fn(&Key) -> Option<&'a Item>,
@@ -251,9 +252,9 @@
 }
 
 fn set_baseline(current: Option<&Rollout>, versions: &[String]) -> Option<Rollout> {
-    let is_undecided = current.is_none_or(|current| current.stage == Stage::Baseline);
+    let is_replaceable = current.is_none_or(|current| current.stage == Stage::Baseline);
     let is_new = current.is_none_or(|current| current.stable != versions) && !versions.is_empty();
-    (is_undecided && is_new).then(|| Rollout {
+    (is_replaceable && is_new).then(|| Rollout {
         stage: Stage::Baseline,
         target: String::new(),
         stable: versions.iter().take(MAX_STABLE_VERSIONS).cloned().collect(),
@@ -263,8 +264,8 @@
     })
 }
 
-/// Accepts an order, unless another one is under way. One that was accepted is acknowledged again. It has to be decided before
-/// which versions have the requests: proxies that have not heard of the order yet send the new one nothing.
+/// Accepts an order unless another rollout is under way. A retried order is acknowledged again. A baseline must exist, so
+/// that proxies that have not received the order yet send no requests to the new version.
 fn start(
     current: Option<&Rollout>,
     order: &RolloutOrder,
@@ -280,8 +281,8 @@
     };
     let target = &order.target;
     let is_same = last.target == *target && last.deadline_ms == order.deadline_ms;
-    let is_repeated = is_same && ordered_at_ms.abs_diff(last.ordered_at_ms) < REPEAT_WINDOW_MS;
-    if is_repeated || last.stage == Stage::Finished && last.target == *target {
+    let is_retry = is_same && ordered_at_ms.abs_diff(last.ordered_at_ms) < RETRY_WINDOW_MS;
+    if is_retry || last.stage == Stage::Finished && last.target == *target {
         return Ok(None);
     }
     if last.stage.is_under_way() {
@@ -306,7 +307,7 @@
 ) -> Result<Option<Rollout>, ValidationError> {
     match current {
         Some(current) if current.stage == stage => Ok(None),
-        Some(current) if is_expected && current.stage.leads_to(stage) => {
+        Some(current) if is_expected && current.stage.can_advance_to(stage) => {
             Ok(Some(Rollout { stage, ..current }))
         }
         _ => Err(ValidationError::conflict("/stage", "the rollout has gone on meanwhile")),
--- a/crates/config-state/src/rollout/tests.rs
+++ b/crates/config-state/src/rollout/tests.rs
@@ -1,3 +1,5 @@
+//! Which changes of a rollout are accepted, and what operators and proxies read of it.
+
 use googletest::prelude::*;
 
 use super::*;
@@ -13,9 +15,9 @@
     live
 }
 
-fn start(target: &str, at_ms: u64) -> RolloutChange {
+fn start(target: &str, order_time_ms: u64) -> RolloutChange {
     let order = RolloutOrder { service: "s".into(), target: target.into(), deadline_ms: 12_000 };
-    RolloutChange::Start { order, ordered_at_ms: at_ms }
+    RolloutChange::Start { order, ordered_at_ms: order_time_ms }
 }
 
 fn apply(live: &mut ItemSet, change: &RolloutChange) -> std::result::Result<bool, ValidationError> {
@@ -33,7 +35,7 @@
 }
 
 #[gtest]
-fn a_version_that_no_rollout_has_let_in_is_closed() {
+fn a_version_outside_the_baseline_and_the_rollout_is_closed() {
     let mut live = live();
     expect_that!(current(&live).access("v1"), eq(VersionAccess::Open));
     expect_that!(current(&live).access("v2"), eq(VersionAccess::Closed));
@@ -44,7 +46,7 @@
 }
 
 #[gtest]
-fn each_stage_opens_what_it_says() {
+fn each_stage_grants_access_to_its_versions() {
     let mut live = live();
     apply(&mut live, &start("v2", NOW_MS)).expect("an order");
     let access = |live: &ItemSet| (current(live).access("v1"), current(live).access("v2"));
@@ -78,13 +80,16 @@
     let mut live = live();
     apply(&mut live, &start("v2", NOW_MS)).expect("an order");
     let revision = live.get(&Rollout::key("s")).expect("an item").version.revision;
-    let late = RolloutChange::Advance { service: "s".into(), revision, stage: Stage::Reverted };
+    let stale_change = RolloutChange::Advance { service: "s".into(), revision, stage: Stage::Reverted };
     advance(&mut live, Stage::Ramp).expect("the next stage");
-    expect_that!(apply(&mut live, &late), err(predicate(|error: &ValidationError| error.is_conflict())));
+    expect_that!(
+        apply(&mut live, &stale_change),
+        err(predicate(|error: &ValidationError| error.is_conflict()))
+    );
 }
 
 #[gtest]
-fn an_order_that_comes_again_is_acknowledged_again_and_another_one_is_not() {
+fn a_repeated_order_is_acknowledged_again_and_a_different_one_conflicts() {
     let mut live = live();
     expect_that!(apply(&mut live, &start("v2", NOW_MS)), ok(eq(&true)));
     let order = current(&live).order;
@@ -94,7 +99,7 @@
         err(predicate(|error: &ValidationError| error.is_conflict()))
     );
     advance(&mut live, Stage::Reverted).expect("reverted");
-    // The caller may not have had its answer yet.
+    // The caller may not have received the answer yet.
     expect_that!(apply(&mut live, &start("v2", NOW_MS + 5_000)), ok(eq(&false)));
     expect_that!(
         apply(&mut live, &start("v2", NOW_MS + 60_000)),
@@ -106,19 +111,23 @@
 }
 
 #[gtest]
-fn the_next_rollout_begins_where_the_last_one_has_ended() {
+fn the_next_rollout_starts_from_the_target_of_the_finished_one() {
     let mut live = live();
     apply(&mut live, &start("v2", NOW_MS)).expect("an order");
     for stage in [Stage::Ramp, Stage::Cutover, Stage::Finished] {
         advance(&mut live, stage).expect("the next stage");
     }
-    expect_that!(apply(&mut live, &start("v2", NOW_MS + 60_000)), ok(eq(&false)), "it has them already");
+    expect_that!(
+        apply(&mut live, &start("v2", NOW_MS + 60_000)),
+        ok(eq(&false)),
+        "the version has the requests already"
+    );
     expect_that!(apply(&mut live, &start("v3", NOW_MS + 60_000)), ok(eq(&true)));
     expect_that!(current(&live).stable, elements_are![eq("v2")]);
 }
 
 #[gtest]
-fn an_order_for_no_service_or_for_the_version_in_service_is_rejected() {
+fn an_order_for_an_unknown_service_or_for_the_baseline_version_is_rejected() {
     let mut empty = ItemSet::default();
     expect_that!(apply(&mut empty, &start("v2", NOW_MS)), err(anything()));
     let mut live = live();
@@ -129,7 +138,7 @@
 }
 
 #[gtest]
-fn a_baseline_overrides_no_rollout() {
+fn a_baseline_does_not_override_a_rollout() {
     let mut live = live();
     apply(&mut live, &start("v2", NOW_MS)).expect("an order");
     let versions = vec!["v9".into()];
@@ -138,7 +147,7 @@
 }
 
 #[gtest]
-fn orders_are_read_and_others_are_not() {
+fn valid_orders_are_parsed_and_invalid_ones_rejected() {
     let parse = |body: &str| RolloutOrder::parse(body.as_bytes());
     let order = parse(r#"{"service":"s","target_version":"v2","deadline":"1.5s"}"#);
     expect_that!(order, ok(field!(RolloutOrder.deadline_ms, eq(&1_500))));
@@ -156,7 +165,7 @@
 }
 
 #[gtest]
-fn operators_read_three_states() {
+fn operators_read_public_state_names() {
     let mut live = live();
     apply(&mut live, &start("v\"2", NOW_MS)).expect("an order");
     let read = |live: &ItemSet| current(live).render();
--- a/crates/config-state/src/routing_table.rs
+++ b/crates/config-state/src/routing_table.rs
@@ -11,9 +11,10 @@
 use crate::resources::{Limits, Route, Service, Tenant};
 use crate::rollout::Rollout;
 
-/// The number of maps that API keys are spread over, so that a change copies one of them.
+/// The number of shards of the map of API keys. A change copies one shard rather than all keys.
 const KEY_SHARDS: usize = 256;
 
+/// The index of an API key's shard.
 fn key_shard(api_key: &str) -> usize {
     hash::hash_parts(&[api_key.as_bytes()]) as usize % KEY_SHARDS
 }
@@ -25,37 +26,37 @@
     tenant: Arc<Tenant>,
 }
 
-/// The tenants that name one key, the newest first. There are several only while a key moves between tenants.
+/// The tenants that name one API key, the newest first. There are several only while a key moves between tenants.
 type Claims = Vec<Claim>;
 
-/// The routing table. Clones share what neither of them changes.
+/// The routing table. Clones share all parts that neither of them has changed since.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RoutingTable {
-    /// By host, the longest prefix first.
+    /// The routes by host, the longest path prefix first.
     routes: HashMap<String, Arc<Vec<Arc<Route>>>>,
-    /// In the order of their names.
+    /// All tenants, in the order of their names.
     tenants: Vec<Arc<Tenant>>,
-    /// Empty, or [`KEY_SHARDS`] maps.
+    /// The shards of the map of API keys: none, or [`KEY_SHARDS`].
     api_keys: Vec<Arc<HashMap<String, Claims>>>,
     /// The services by name.
     pub services: BTreeMap<String, Service>,
-    /// What clients may send.
+    /// Limits on what clients may send.
     pub limits: Limits,
-    /// What is decided about the services' versions, by service.
+    /// The rollout states by service.
     pub rollouts: BTreeMap<String, Arc<RolloutInForce>>,
 }
 
-/// What is decided about a service's versions, and at which revision of its item.
+/// A service's rollout state with the revision of its item.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutInForce {
     /// The revision of the item.
     pub revision: u64,
-    /// What it says.
+    /// The rollout state that the item holds.
     pub rollout: Rollout,
 }
 
 impl RoutingTable {
-    /// The table of all live items. Items that cannot be parsed, which validation never lets in, are left out.
+    /// The table of all live items. Items that cannot be parsed are left out; validation accepts none.
     pub fn from_items(items: &ItemSet) -> RoutingTable {
         let mut table = RoutingTable::default();
         for item in items.iter().filter(|item| item.key.kind.is_config()) {
@@ -64,9 +65,9 @@
         table
     }
 
-    /// Applies a newer item or tombstone, at the cost of what that item holds.
+    /// Applies a newer item or tombstone without rebuilding the table.
     ///
-    /// Once each live item has been applied, the table equals [`RoutingTable::from_items`] of all of them.
+    /// Once all live items have been applied, the table equals [`RoutingTable::from_items`] of all of them.
     pub fn apply(&mut self, item: &Item) {
         let name = &item.key.name;
         match item.key.kind {
@@ -166,7 +167,7 @@
         self.routes.values().map(|routes| routes.len()).sum()
     }
 
-    /// The route of a request: the longest matching prefix of its host. `host` may carry a port.
+    /// The route of a request: the one of its host with the longest matching prefix. `host` may include a port.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let with_port = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
         let name = with_port.map_or(host, |(name, _)| name);
@@ -201,8 +202,8 @@
     }
 }
 
-/// Inserts a claim in its order. A key may have moved while the tenant that gave it up is still known with it: the newer
-/// version wins.
+/// Inserts a claim in its order. While a key moves, the table may still have the old item of the tenant that gave it up:
+/// the newer version wins.
 fn insert_claim(claims: &mut Claims, claim: Claim) {
     let order = |claim: &Claim| (Reverse(claim.version), claim.tenant.name.clone());
     let index = claims.partition_point(|other| order(other) < order(&claim));
--- a/crates/config-state/src/server.rs
+++ b/crates/config-state/src/server.rs
@@ -1,4 +1,4 @@
-//! Backend servers as they report themselves, and which report is the newest.
+//! Backend servers as their heartbeats report them, and which report is the newest.
 
 use std::net::SocketAddrV4;
 
@@ -20,9 +20,9 @@
 pub enum ServerState {
     /// It takes requests.
     Ready,
-    /// It completes the requests that it has.
+    /// It completes the requests that it has received.
     Draining,
-    /// It has missed several heartbeats; its next one brings it back.
+    /// It has missed several heartbeats; the next one restores it.
     Lost,
     /// It has deregistered.
     Gone,
@@ -33,25 +33,25 @@
 pub struct Server {
     /// Its service.
     pub service: String,
-    /// Where it takes requests.
+    /// The address at which it takes requests.
     pub address: SocketAddrV4,
     /// Its zone.
     pub zone: String,
     /// The revision of its software.
     pub revision: String,
-    /// The number of requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub capacity: u32,
     /// Its state.
     pub state: ServerState,
-    /// How much longer its slow start lasted when it reported this, in milliseconds.
+    /// The remaining time of its slow start at the time of the report, in milliseconds.
     pub warmup_ms: u32,
 }
 
-/// No server's item is longer, in bytes.
+/// Maximum encoded length of a server, in bytes.
 const MAX_ENCODED_LENGTH: usize = 64 * 1024;
-/// The call count of a tombstone, which no heartbeat reaches.
+/// The call count of a tombstone, higher than that of any heartbeat.
 const TOMBSTONE_CALL_COUNT: u64 = u64::MAX;
-/// A tombstone is kept for so long, in seconds; by then no message about the server is under way.
+/// How long a tombstone is kept, in seconds. By then no message about the server is still in transit.
 const TOMBSTONE_LIFETIME: u64 = 300;
 
 /// A heartbeat as a server sends it.
@@ -59,7 +59,7 @@
 pub struct Heartbeat {
     /// The server's report.
     pub server: Server,
-    /// Rises with each call of this incarnation.
+    /// The number of the call, which rises with each call of this incarnation.
     pub call_count: u64,
 }
 
@@ -133,37 +133,37 @@
 }
 
 impl Server {
-    /// The item of a server, as of its call of this count.
+    /// The item of a server as of the call with this count.
     pub fn to_item(&self, id: &str, call_count: u64) -> Item {
         let value = bincode::encode_to_vec(self, bincode::config::standard()).ok();
         Item { key: Key::new(Kind::Server, id), version: Version::new(call_count, self.state as u64), value }
     }
 
-    /// The tombstone of a server that has deregistered at a time of day, in seconds.
-    pub fn tombstone(id: &str, time_of_day: u64) -> Item {
-        let version = Version::new(TOMBSTONE_CALL_COUNT, time_of_day);
+    /// The tombstone of a server that deregistered at a wall-clock time, in seconds.
+    pub fn tombstone(id: &str, wall_clock: u64) -> Item {
+        let version = Version::new(TOMBSTONE_CALL_COUNT, wall_clock);
         Item { key: Key::new(Kind::Server, id), version, value: None }
     }
 
-    /// Whether an item is a tombstone so old that it is to be removed, and not accepted from other replicas. `time_of_day` is
+    /// Whether an item is a tombstone so old that it is to be removed, and not accepted from other replicas. `wall_clock` is
     /// in seconds.
     ///
-    /// Tombstones that were kept for good would grow with all servers that ever were. Were their age not part of the item,
-    /// replicas that drop them by clocks of their own would hand them back to each other.
-    pub fn is_expired_tombstone(item: &Item, time_of_day: u64) -> bool {
+    /// Tombstones that never expired would accumulate with every server that ever existed. If their age were not part of
+    /// the item, replicas that remove them by their own clocks would replicate them back to each other.
+    pub fn is_expired_tombstone(item: &Item, wall_clock: u64) -> bool {
         let Version { revision, tie_breaker } = item.version;
-        revision == TOMBSTONE_CALL_COUNT && tie_breaker.saturating_add(TOMBSTONE_LIFETIME) < time_of_day
+        revision == TOMBSTONE_CALL_COUNT && tie_breaker.saturating_add(TOMBSTONE_LIFETIME) < wall_clock
     }
 
     /// Decodes an item's content; `None` if it cannot be.
     pub fn decode(value: &[u8]) -> Option<Server> {
-        // Without a limit, bytes that announce a long text would have the memory for it allocated.
+        // Without a limit, a forged length prefix would cause an allocation of that length.
         let config = bincode::config::standard().with_limit::<MAX_ENCODED_LENGTH>();
         bincode::decode_from_slice(value, config).ok().map(|(server, _)| server)
     }
 
-    /// Whether this report tells proxies nothing that the earlier one did not. A slow start runs out by itself; only one that
-    /// has begun anew is an update.
+    /// Whether this report has no new information for proxies compared to an earlier one. A slow start runs out by itself;
+    /// only one that has started again is an update.
     pub fn adds_nothing_to(&self, earlier: &Server) -> bool {
         let with_earlier_warmup = Server { warmup_ms: earlier.warmup_ms, ..self.clone() };
         with_earlier_warmup == *earlier && self.warmup_ms <= earlier.warmup_ms
--- a/crates/config-state/src/validation.rs
+++ b/crates/config-state/src/validation.rs
@@ -1,7 +1,7 @@
-//! Whether an update may be applied on top of what is live.
+//! Validation of updates against the live items.
 //!
-//! [`accept_update`] states the rules, at the cost of all live items. [`IndexedItems`] gives the same answer at the cost of
-//! what the update touches.
+//! [`accept_update`] defines the rules, at a cost proportional to all live items. [`IndexedItems`] gives the same result
+//! at a cost proportional to what the update touches.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -30,8 +30,8 @@
     live.is_none_or(|old| old.version.revision < item.version.revision)
 }
 
-/// Checks that requests can carry what a call brings anew. What was accepted once is acknowledged again, whatever would be
-/// asked of it today.
+/// Checks the request syntax of the items that are new in a call. An item that was accepted once is acknowledged again, even
+/// if it would be rejected now.
 fn check_new_syntax<'a>(
     live: impl Fn(&Key) -> Option<&'a Item>,
     call: &[Item],
@@ -40,7 +40,7 @@
     newer.try_for_each(check_request_syntax)
 }
 
-/// Checks that a revision stands for one content, within a call and beside what is live.
+/// Checks that a revision of an item has a single content, within a call and compared to the live item.
 fn check_revisions<'a>(
     live: impl Fn(&Key) -> Option<&'a Item>,
     call: &[Item],
@@ -66,7 +66,7 @@
     index: ReferenceIndex<'static>,
 }
 
-/// The index follows from the items.
+/// Compares the items alone: the index is derived from them.
 impl PartialEq for IndexedItems {
     fn eq(&self, other: &IndexedItems) -> bool {
         self.items == other.items
@@ -82,7 +82,7 @@
 }
 
 impl IndexedItems {
-    /// Indexes all items, at the cost of all of them.
+    /// Indexes all items.
     pub fn new(items: ItemSet) -> IndexedItems {
         let mut index = ReferenceIndex::default();
         items.iter().for_each(|item| index.insert(item));
@@ -94,7 +94,7 @@
         &self.items
     }
 
-    /// Inserts an item if it is newer than the one of its key; returns whether it was.
+    /// Inserts an item if it is newer than the one with its key; returns whether it was.
     pub fn merge(&mut self, item: Item) -> bool {
         let old = self.items.get(&item.key);
         if old.is_some_and(|old| old.version >= item.version) {
@@ -109,12 +109,12 @@
         items.into_iter().filter(|item| self.merge(item.clone())).collect()
     }
 
-    /// A view to which items can be added without changing these.
+    /// An empty overlay, to which items can be added without changing these.
     pub fn overlay(&self) -> Overlay<'_> {
         Overlay { base: &self.items, index: ReferenceIndex::over(&self.index), items: BTreeMap::new() }
     }
 
-    /// As [`accept_update`], at the cost of what the update touches.
+    /// As [`accept_update`], at a cost proportional to what the update touches.
     pub fn accept_update(&self, call: &[Item]) -> Result<Vec<Item>, ValidationError> {
         self.overlay().accept_update(call)
     }
@@ -129,12 +129,12 @@
 }
 
 impl Overlay<'_> {
-    /// The item of a key, from the overlay or from below it.
+    /// The item of a key, from the overlay or else from the live items.
     pub fn get(&self, key: &Key) -> Option<&Item> {
         self.items.get(key).or_else(|| self.base.get(key))
     }
 
-    /// Inserts an item if it is newer than the one of its key; returns whether it was.
+    /// Inserts an item if it is newer than the one with its key; returns whether it was.
     pub fn merge(&mut self, item: Item) -> bool {
         let old = self.items.get(&item.key).or_else(|| self.base.get(&item.key));
         if old.is_some_and(|old| old.version >= item.version) {
@@ -150,14 +150,14 @@
         items.into_iter().filter(|item| self.merge(item.clone())).collect()
     }
 
-    /// The overlay and what is below it in one set, at the cost of all items.
+    /// The live items merged with those of the overlay, at a cost proportional to all items.
     pub fn to_item_set(&self) -> ItemSet {
         let mut items = self.base.clone();
         items.merge_all(self.items.values().cloned());
         items
     }
 
-    /// As [`accept_update`], at the cost of what the update touches. The overlay itself does not change.
+    /// As [`accept_update`], at a cost proportional to what the update touches. The overlay itself does not change.
     pub fn accept_update(&self, call: &[Item]) -> Result<Vec<Item>, ValidationError> {
         call.iter().try_for_each(check_item)?;
         check_revisions(|key| self.get(key), call)?;
@@ -195,19 +195,19 @@
         if !index.has_faults() {
             return Ok(());
         }
-        // Without a fault in what the update touches, what is live is at fault, and no update is accepted.
+        // If what the update touches has no fault, the live items have one, and no update that leaves it is accepted.
         let live_fault = || check_references(&self.to_item_set()).err();
         let fault = index.own_fault().or_else(live_fault);
         Err(fault.unwrap_or(ValidationError::invalid("", "what stands does not fit")))
     }
 }
 
-/// Returns the newer items of an update, if all that would then be live is consistent.
+/// Returns the newer items of an update, if the live items would be consistent with them.
 ///
-/// An older version, or the same once more, has no effect and is no error. Another content under a revision that was accepted
-/// is a conflict: of two operators who send one revision at most one is acknowledged.
+/// An older or repeated version has no effect and is not an error. Different content under an accepted revision is a
+/// conflict: of two operators who send different content under one revision at most one is acknowledged.
 ///
-/// This costs as much as all live items, and is the reference for [`Overlay::accept_update`].
+/// The cost is proportional to all live items. This is the reference implementation for [`Overlay::accept_update`].
 pub fn accept_update(live: &ItemSet, call: &[Item]) -> Result<Vec<Item>, ValidationError> {
     call.iter().try_for_each(check_item)?;
     check_revisions(|key| live.get(key), call)?;
@@ -217,7 +217,7 @@
         .iter()
         .filter(|item| is_newer_revision(live.get(&item.key), item) && next.merge((*item).clone()));
     let newer: Vec<Item> = newer.cloned().collect();
-    // Of two versions of one item in a call the higher wins.
+    // Of two versions of an item in one call, the higher wins.
     let newer: Vec<Item> = newer.into_iter().filter(|item| next.get(&item.key) == Some(item)).collect();
     if !newer.is_empty() {
         check_references(&next)?;
--- a/crates/config-state/src/validation/reference_index.rs
+++ b/crates/config-state/src/validation/reference_index.rs
@@ -1,4 +1,4 @@
-//! An index of the names by which items depend on each other, so that a change costs as much as what it touches.
+//! An index of the references between items, by which the cost of validating a change is proportional to what it touches.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,7 +14,8 @@
 }
 
 impl ServiceUse {
-    fn is_fault(&self) -> bool {
+    /// Whether routes forward to the service although it is not live.
+    fn is_dangling(&self) -> bool {
         !self.routes.is_empty() && !self.is_live
     }
 
@@ -23,25 +24,25 @@
     }
 }
 
-/// The index. One over another holds only what differs from there.
+/// References and faults of a set of items. An index over a base holds only the entries that differ from the base.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReferenceIndex<'a> {
     base: Option<&'a ReferenceIndex<'a>>,
-    /// The tenants that have an API key.
+    /// The tenants that have each API key.
     key_owners: HashMap<String, BTreeSet<String>>,
-    /// By service.
+    /// The use of each service, by its name.
     services: HashMap<String, ServiceUse>,
-    /// The number of API keys with several owners, services that are used and not live, and items that cannot be parsed.
+    /// The number of API keys with several owners, services that are used but not live, and items that cannot be parsed.
     faults: usize,
 }
 
 impl<'a> ReferenceIndex<'a> {
-    /// An index that begins with what another holds.
+    /// An index over a base, equal to it at first.
     pub(super) fn over(base: &'a ReferenceIndex<'a>) -> ReferenceIndex<'a> {
         ReferenceIndex { base: Some(base), faults: base.faults, ..ReferenceIndex::default() }
     }
 
-    /// Whether any item is at fault.
+    /// Whether there are any faults.
     pub(super) fn has_faults(&self) -> bool {
         self.faults > 0
     }
@@ -68,29 +69,30 @@
     fn change_service(&mut self, service: &str, change: impl FnOnce(&mut ServiceUse)) {
         let from_base = || self.base?.service_use(service).cloned();
         let mut service_use = self.services.remove(service).or_else(from_base).unwrap_or_default();
-        self.faults -= usize::from(service_use.is_fault());
+        self.faults -= usize::from(service_use.is_dangling());
         change(&mut service_use);
-        self.faults += usize::from(service_use.is_fault());
+        self.faults += usize::from(service_use.is_dangling());
         if !service_use.is_empty() || self.base.is_some() {
             self.services.insert(service.into(), service_use);
         }
     }
 
-    /// Adds what an item refers to.
+    /// Adds the references of an item.
     pub(super) fn insert(&mut self, item: &Item) {
-        self.set(item, true);
+        self.set_references(item, true);
     }
 
-    /// Replaces what an item of the same key refers to.
+    /// Replaces the references of the old item of the same key.
     pub(super) fn replace(&mut self, old: Option<&Item>, new: &Item) {
-        old.into_iter().for_each(|old| self.set(old, false));
-        self.set(new, true);
+        old.into_iter().for_each(|old| self.set_references(old, false));
+        self.set_references(new, true);
     }
 
-    fn set(&mut self, item: &Item, is_live: bool) {
+    /// Adds the references of an item, or removes them if the item is no longer live.
+    fn set_references(&mut self, item: &Item, is_live: bool) {
         let name = &item.key.name;
         if item.key.kind == Kind::Service && item.value.is_some() {
-            // A service is live by its name, whatever it holds.
+            // Routes may refer to a service whatever its text contains.
             return self.change_service(name, |service_use| service_use.is_live = is_live);
         }
         match references(item) {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// A fault in what this index holds itself, and not the one below it.
+    /// A fault among the entries of this index itself, not those of its base.
     pub(super) fn own_fault(&self) -> Option<ValidationError> {
         let mut shared = self.key_owners.values().filter_map(|owners| {
             let mut owners = owners.iter();
--- a/crates/config-state/src/validation/references.rs
+++ b/crates/config-state/src/validation/references.rs
@@ -1,21 +1,21 @@
-//! What items refer to, and the errors for references that conflict.
+//! The references of items, and the errors for references that dangle or conflict.
 
 use crate::error::ValidationError;
 use crate::item::{Item, Kind};
 use crate::json;
 use crate::resources::{Limits, Route, Service, Tenant};
 
-/// What an item refers to, by which it may conflict with other items.
+/// The references by which an item may conflict with other items.
 pub(super) enum References {
     /// The services that a route forwards to.
     Services(Vec<String>),
     /// The API keys of a tenant.
     ApiKeys(Vec<String>),
-    /// None.
+    /// No references.
     None,
 }
 
-/// Parses an item, and returns what it refers to.
+/// Parses an item and returns its references.
 pub(super) fn references(item: &Item) -> Result<References, ValidationError> {
     let Some(text) = &item.value else { return Ok(References::None) };
     let name = &item.key.name;
@@ -31,7 +31,7 @@
     }
 }
 
-/// Whether a live item exceeds a bound on texts that the release which accepted it did not have. It is left out of the routing
+/// Whether a live item exceeds a bound that the release which accepted it did not check. It is left out of the routing
 /// table and of the checks, so that other changes are still accepted.
 pub(super) fn exceeds_bounds(item: &Item) -> bool {
     let exceeds = |text: &Vec<u8>| json::check(text, &json::STORED).is_err_and(|error| error.exceeds_bound());
@@ -43,7 +43,7 @@
     ValidationError::invalid(format!("Route {route}/service"), format!("there is no service {service}"))
 }
 
-/// The error for two tenants with one API key.
+/// The error for two tenants that share an API key.
 pub(super) fn shared_api_key(tenant: &str, other: &str) -> ValidationError {
     ValidationError::invalid(format!("Tenant {tenant}/api_keys"), format!("{other} has the same key"))
 }
--- a/crates/config-state/tests/hostile_json.rs
+++ b/crates/config-state/tests/hostile_json.rs
@@ -1,5 +1,5 @@
-//! Texts from outside that are built to do harm. An overflow of the stack ends the process and can't be caught, so each
-//! reader of nested texts runs in a process of its own.
+//! Hostile and malformed JSON is rejected and ends no process. A stack overflow cannot be caught, so each reader of nested
+//! texts runs in a child process.
 
 use std::process::Command;
 
@@ -11,19 +11,19 @@
 use pinerelay_config_state::validation::{accept_update, IndexedItems};
 use pinerelay_config_state::{operator_call, Item, ItemSet, Key, Kind, ValidationError};
 
-/// Names the reader that a child process is to run.
-const CHILD: &str = "PINERELAY_TEST_READER";
+/// The environment variable that names the reader that a child process is to run.
+const READER_VARIABLE: &str = "PINERELAY_TEST_READER";
 
-/// 500 KB, as a caller sent it.
-fn nested(open: &str, times: usize) -> Vec<u8> {
-    open.repeat(times).into_bytes()
+/// A text that opens arrays or objects and never closes them. A caller once sent 500 KB of this.
+fn nested(opening: &str, count: usize) -> Vec<u8> {
+    opening.repeat(count).into_bytes()
 }
 
-/// Gives a reader texts of each kind of nesting, at each place at which it could recurse.
+/// Passes texts of different nestings and depths to a reader, at each place at which it could recurse.
 fn read_nested(reader: &str) {
-    for open in ["{\"a\":", "[", "{\"upsert\":{\"routes\":{\"records\":[[", "[{\"\":["] {
-        for times in [1_000, 100_000, 400_000] {
-            let text = nested(open, times);
+    for opening in ["{\"a\":", "[", "{\"upsert\":{\"routes\":{\"records\":[[", "[{\"\":["] {
+        for count in [1_000, 100_000, 400_000] {
+            let text = nested(opening, count);
             match reader {
                 "call" => drop(operator_call::parse_update(&text)),
                 "heartbeat" => drop(Heartbeat::parse(&text)),
@@ -43,77 +43,78 @@
 }
 
 #[gtest]
-fn no_nesting_ends_a_process() {
-    if let Ok(reader) = std::env::var(CHILD) {
+fn deep_nesting_causes_no_stack_overflow() {
+    if let Ok(reader) = std::env::var(READER_VARIABLE) {
         return read_nested(&reader);
     }
     let program = std::env::current_exe().expect("this program");
     for reader in ["call", "heartbeat", "route", "tenant", "standing"] {
         let mut child = Command::new(&program);
-        let child = child.args(["no_nesting_ends_a_process", "--exact"]).env(CHILD, reader);
-        let ended = child.output().expect("a child process");
-        expect_that!(ended.status.success(), eq(true), "{reader}: {}", ended.status);
+        let child =
+            child.args(["deep_nesting_causes_no_stack_overflow", "--exact"]).env(READER_VARIABLE, reader);
+        let child_output = child.output().expect("a child process");
+        expect_that!(child_output.status.success(), eq(true), "{reader}: {}", child_output.status);
     }
 }
 
 #[gtest]
-fn a_text_at_the_bound_is_read_and_one_over_it_refused() {
-    let deep = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
-    let most = json::OPERATOR_CALL.depth;
-    expect_that!(json::parse(deep(most).as_bytes(), &json::OPERATOR_CALL).is_ok(), eq(true));
-    let over = json::parse(deep(most + 1).as_bytes(), &json::OPERATOR_CALL).map(drop);
-    expect_that!(over, err(eq(&JsonError::TooDeep { at: most, most })));
-    let hidden = format!("[\"{}\\\"[{{\"]", "[".repeat(most));
+fn a_text_at_a_bound_is_parsed_and_one_over_it_rejected() {
+    let nested_arrays = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
+    let max_depth = json::OPERATOR_CALL.depth;
+    expect_that!(json::parse(nested_arrays(max_depth).as_bytes(), &json::OPERATOR_CALL).is_ok(), eq(true));
+    let too_deep = json::parse(nested_arrays(max_depth + 1).as_bytes(), &json::OPERATOR_CALL).map(drop);
+    expect_that!(too_deep, err(eq(&JsonError::TooDeep { byte_offset: max_depth, max_depth })));
+    let quoted_brackets = format!("[\"{}\\\"[{{\"]", "[".repeat(max_depth));
     expect_that!(
-        json::parse(hidden.as_bytes(), &json::OPERATOR_CALL).is_ok(),
+        json::parse(quoted_brackets.as_bytes(), &json::OPERATOR_CALL).is_ok(),
         eq(true),
         "brackets in a string"
     );
-    let side_by_side = format!("[{}1]", "[[]],".repeat(most));
+    let side_by_side = format!("[{}1]", "[[]],".repeat(max_depth));
     expect_that!(json::parse(side_by_side.as_bytes(), &json::OPERATOR_CALL).is_ok(), eq(true));
-    let many = format!("[{}1]", "1,".repeat(json::HEARTBEAT.values));
+    let too_many = format!("[{}1]", "1,".repeat(json::HEARTBEAT.values));
     expect_that!(
-        json::parse(many.as_bytes(), &json::HEARTBEAT).map(drop),
+        json::parse(too_many.as_bytes(), &json::HEARTBEAT).map(drop),
         err(eq(&JsonError::TooManyValues(json::HEARTBEAT.values)))
     );
-    let long = format!("\"{}\"", "x".repeat(json::HEARTBEAT.bytes));
+    let too_long = format!("\"{}\"", "x".repeat(json::HEARTBEAT.bytes));
     expect_that!(
-        json::parse(long.as_bytes(), &json::HEARTBEAT).map(drop),
+        json::parse(too_long.as_bytes(), &json::HEARTBEAT).map(drop),
         err(eq(&JsonError::TooLong(json::HEARTBEAT.bytes)))
     );
 }
 
 #[gtest]
-fn a_name_that_stands_twice_is_refused() {
-    let twice = [
+fn duplicate_names_are_rejected() {
+    let duplicates = [
         r#"{"upsert":{},"upsert":{}}"#,
         r#"{"upsert":{"routes":null,"routes":null}}"#,
         r#"{"upsert":{},"\u0075psert":{}}"#,
         r#"{"upsert" : {}, "remove":{"routes":[{"name":"a","revision":1,"name":"b"}]}}"#,
     ];
-    for text in twice {
+    for text in duplicates {
         let error = operator_call::parse_update(text.as_bytes()).expect_err(text).to_string();
         expect_that!(error, contains_substring("stands twice in one object"), "{text}");
     }
-    let columns =
+    let duplicate_column =
         br#"{"upsert":{"services":{"column_names":["name","revision","name"],"records":[["a",1,"b"]]}}}"#;
     expect_that!(
-        operator_call::parse_update(columns).map_err(|error| error.location),
+        operator_call::parse_update(duplicate_column).map_err(|error| error.location),
         err(eq("/upsert/services/column_names/2"))
     );
-    let wide = |last: &str| {
+    let many_names = |last: &str| {
         let names: Vec<String> = (0..100).map(|n| format!("\"n{n}\":{n}")).collect();
         json::check(format!("{{{},\"{last}\":0}}", names.join(",")).as_bytes(), &json::OPERATOR_CALL)
     };
-    expect_that!(wide("n100"), ok(anything()));
-    expect_that!(wide("n3"), err(anything()));
-    expect_that!(wide("n73"), err(anything()));
-    let apart = br#"[{"a":1},{"a":{"a":"a"}},"a"]"#;
-    expect_that!(json::check(apart, &json::OPERATOR_CALL), ok(anything()));
+    expect_that!(many_names("n100"), ok(anything()));
+    expect_that!(many_names("n3"), err(anything()));
+    expect_that!(many_names("n73"), err(anything()));
+    let distinct_objects = br#"[{"a":1},{"a":{"a":"a"}},"a"]"#;
+    expect_that!(json::check(distinct_objects, &json::OPERATOR_CALL), ok(anything()));
 }
 
 #[gtest]
-fn odd_numbers_and_texts_are_refused() {
+fn malformed_numbers_and_texts_are_rejected() {
     let call = |revision: &str, name: &str| {
         let body = format!("{{\"remove\":{{\"routes\":[{{\"name\":{name},\"revision\":{revision}}}]}}}}");
         operator_call::parse_update(body.as_bytes()).map(|items| items.len())
@@ -140,14 +141,15 @@
         expect_that!(call("7", name), err(anything()), "{name}");
     }
     let mut body = br#"{"remove":{"routes":[{"name":"r?","revision":7}]}}"#.to_vec();
-    let at = body.iter().position(|&byte| byte == b'?').expect("the mark");
+    let index = body.iter().position(|&byte| byte == b'?').expect("the placeholder");
     for byte in [0xff, 0xc0, 0x80, 0x00, 0x1f] {
-        body[at] = byte;
+        body[index] = byte;
         expect_that!(operator_call::parse_update(&body), err(anything()), "{byte:#x}");
     }
 }
 
-fn change(tenant: &str, revision: u64, key: &str, prefix: &str) -> Vec<Item> {
+/// An update that sets a tenant, a route and a service.
+fn update(tenant: &str, revision: u64, key: &str, prefix: &str) -> Vec<Item> {
     let tenant = sonic_rs::to_string(tenant).expect("a text");
     let key = sonic_rs::to_string(key).expect("a text");
     let prefix = sonic_rs::to_string(prefix).expect("a text");
@@ -161,21 +163,21 @@
 }
 
 #[gtest]
-fn what_no_request_can_hold_is_refused() {
+fn values_that_no_request_can_contain_are_rejected() {
     let validated = |tenant: &str, key: &str, prefix: &str| {
-        let call = change(tenant, 1, key, prefix);
-        let whole = accept_update(&ItemSet::default(), &call);
-        expect_that!(IndexedItems::default().accept_update(&call), eq(&whole));
-        whole.map(|items| items.len()).map_err(|error| error.to_string())
+        let call = update(tenant, 1, key, prefix);
+        let reference = accept_update(&ItemSet::default(), &call);
+        expect_that!(IndexedItems::default().accept_update(&call), eq(&reference));
+        reference.map(|items| items.len()).map_err(|error| error.to_string())
     };
     expect_that!(validated("yefi830", "xd9dnn2ctnfzs989anu6", "/x/"), ok(eq(&3)));
     expect_that!(validated("A tenant, 7~", "a b=\u{e9}", "/x/%20;=@/"), ok(eq(&3)));
-    let long = "n".repeat(operator_call::MAX_NAME_LENGTH + 1);
-    for tenant in ["caf\u{e9}", " a", "a ", "a\tb", "a\u{0}", "a\r\nX-Tenant: b", "\u{7f}", &long] {
+    let long_name = "n".repeat(operator_call::MAX_NAME_LENGTH + 1);
+    for tenant in ["caf\u{e9}", " a", "a ", "a\tb", "a\u{0}", "a\r\nX-Tenant: b", "\u{7f}", &long_name] {
         expect_that!(validated(tenant, "k", "/x/"), err(anything()), "{tenant:?}");
     }
-    let long = "k".repeat(pinerelay_config_state::request_syntax::MAX_KEY_LENGTH + 1);
-    for key in [" k", "k ", "\tk", "k\n", "k\u{0}", "k\u{7f}", "k\u{fffd}", &long] {
+    let long_key = "k".repeat(pinerelay_config_state::request_syntax::MAX_KEY_LENGTH + 1);
+    for key in [" k", "k ", "\tk", "k\n", "k\u{0}", "k\u{7f}", "k\u{fffd}", &long_key] {
         expect_that!(validated("t", key, "/x/"), err(contains_substring("api_keys")), "{key:?}");
     }
     for prefix in ["/x y/", "/x?y/", "/x#y/", "/\u{0}/", "/x\r\n/", "/\u{7f}/"] {
@@ -184,23 +186,23 @@
 }
 
 #[gtest]
-fn what_an_earlier_build_took_stands_and_is_acknowledged_again() {
-    let old = change("caf\u{e9}", 5, "k\n", "/x y/");
+fn items_of_an_earlier_release_stay_live_and_are_acknowledged_again() {
+    let old = update("caf\u{e9}", 5, "k\n", "/x y/");
     let mut item_set = ItemSet::default();
     item_set.merge_all(old.clone());
     let current = IndexedItems::new(item_set.clone());
     expect_that!(accept_update(&item_set, &old), ok(is_empty()));
     expect_that!(current.accept_update(&old), ok(is_empty()));
-    let older = change("caf\u{e9}", 3, "k\n", "/x y/");
+    let older = update("caf\u{e9}", 3, "k\n", "/x y/");
     expect_that!(current.accept_update(&older), ok(is_empty()));
-    let other = change("t2", 6, "k2", "/x/");
+    let other = update("t2", 6, "k2", "/x/");
     expect_that!(
         current.accept_update(&other).map(|items| items.len()),
         ok(eq(&3)),
-        "others are taken beside it"
+        "other items are accepted beside it"
     );
     expect_that!(accept_update(&item_set, &other).map(|items| items.len()), ok(eq(&3)));
-    let newer = change("caf\u{e9}", 7, "k", "/x/");
+    let newer = update("caf\u{e9}", 7, "k", "/x/");
     expect_that!(current.accept_update(&newer), err(contains_display("X-Tenant")));
     expect_that!(RoutingTable::from_items(&item_set).tenant_by_name("caf\u{e9}"), some(anything()));
 }
@@ -210,18 +212,18 @@
 }
 
 #[gtest]
-fn an_item_that_is_nested_too_deeply_does_not_keep_others_from_being_taken() {
+fn a_live_item_that_is_nested_too_deeply_does_not_block_other_updates() {
     let deep = format!("{{\"x\":{}{}}}", "[".repeat(4_000), "]".repeat(4_000)).into_bytes();
     for kind in [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits] {
         let mut item_set = ItemSet::default();
         item_set.merge(Item::with_revision(Key::new(kind, "deep"), 1, Some(deep.clone())));
-        let call = change("t", 1, "k", "/x/");
+        let call = update("t", 1, "k", "/x/");
         expect_that!(accept_update(&item_set, &call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
         let mut current = IndexedItems::new(item_set);
         expect_that!(current.accept_update(&call).map(|items| items.len()), ok(eq(&3)), "{kind:?}");
         current.merge_all(call);
         expect_that!(RoutingTable::from_items(current.items()).tenant_by_key("k"), some(anything()));
-        let drops = Item::with_revision(Key::new(kind, "deep"), 2, None);
-        expect_that!(current.accept_update(&[drops]).map(|items| items.len()), ok(eq(&1)), "{kind:?}");
+        let tombstone = Item::with_revision(Key::new(kind, "deep"), 2, None);
+        expect_that!(current.accept_update(&[tombstone]).map(|items| items.len()), ok(eq(&1)), "{kind:?}");
     }
 }
--- a/crates/config-state/tests/routing_table.rs
+++ b/crates/config-state/tests/routing_table.rs
@@ -1,4 +1,4 @@
-//! A table that takes changes one by one is that of all items.
+//! A table to which changes are applied one by one equals the table built from all items.
 
 use googletest::prelude::*;
 use pinerelay_config_state::routing_table::RoutingTable;
@@ -31,20 +31,21 @@
 
 proptest! {
     #[test]
-    fn changes_one_by_one_make_the_table_of_all(items in prop::collection::vec(item(), 0..60)) {
+    fn incremental_changes_give_the_table_of_all_items(items in prop::collection::vec(item(), 0..60)) {
         let (mut item_set, mut table) = (ItemSet::default(), RoutingTable::default());
         for item in items {
-            let (held, before) = (table.clone(), RoutingTable::from_items(&item_set));
+            let (snapshot, before) = (table.clone(), RoutingTable::from_items(&item_set));
             if item_set.merge(item.clone()) {
                 table.apply(&item);
             }
             prop_assert_eq!(&table, &RoutingTable::from_items(&item_set));
-            prop_assert_eq!(&held, &before, "what others hold stays");
-            // Of several tenants that name a key, it is the newest's.
+            prop_assert_eq!(&snapshot, &before, "a clone does not change with the table");
+            // Of several tenants that name a key, the newest has it.
             let version = |name: &str| item_set.get(&Key::new(Kind::Tenant, name)).map(|item| item.version);
             for key in ["k0", "k1", "k2"] {
-                let named = table.tenants().iter().filter(|tenant| tenant.api_keys.iter().any(|k| k == key));
-                let newest = named.clone().map(|tenant| version(&tenant.name)).max();
+                let claimants =
+                    table.tenants().iter().filter(|tenant| tenant.api_keys.iter().any(|k| k == key));
+                let newest = claimants.clone().map(|tenant| version(&tenant.name)).max();
                 prop_assert_eq!(table.tenant_by_key(key).map(|tenant| version(&tenant.name)), newest);
             }
         }
@@ -52,7 +53,7 @@
 }
 
 #[gtest]
-fn an_empty_table_is_empty() {
+fn a_table_is_empty_again_after_its_only_tenant_is_removed() {
     let mut table = RoutingTable::default();
     let item = Item::with_revision(Key::new(Kind::Tenant, "t"), 1, Some(br#"{"api_keys":["k"]}"#.to_vec()));
     table.apply(&item);
--- a/crates/config-state/tests/validation.rs
+++ b/crates/config-state/tests/validation.rs
@@ -1,14 +1,14 @@
-//! A call is judged by index as it is by all that stands.
+//! Validation by index gives the same result as validation of all live items.
 
 use googletest::prelude::*;
 use pinerelay_config_state::validation::{accept_update, check_references, IndexedItems};
 use pinerelay_config_state::{Item, ItemSet, Key, Kind};
 use proptest::prelude::*;
 
-/// A few names, so that items clash often; some can't be read.
+/// Items with few names, so that they conflict often; some cannot be parsed.
 fn item() -> impl Strategy<Value = Item> {
     (0..3_u8, 0..4_u8, 0..6_u64, 0..12_u8, 0..4_u8, 0..4_u8).prop_map(
-        |(kind, name, revision, odd, one, two)| {
+        |(kind, name, revision, content, one, two)| {
             let (kind, text) = match kind {
                 0 => (Kind::Service, "{}".to_string()),
                 1 => (Kind::Tenant, format!(r#"{{"api_keys":["k{one}","k{two}"]}}"#)),
@@ -20,7 +20,7 @@
                     ),
                 ),
             };
-            let value = match odd {
+            let value = match content {
                 0..3 => None,
                 3 => Some(b"{".to_vec()),
                 _ => Some(text.into_bytes()),
@@ -34,46 +34,49 @@
     #![proptest_config(ProptestConfig::with_cases(1_024))]
 
     #[test]
-    fn a_call_is_judged_by_index_as_by_all_that_stands(
+    fn validation_by_index_agrees_with_validation_of_all_items(
         unchecked in prop::collection::vec(item(), 0..4),
         calls in prop::collection::vec(prop::collection::vec(item(), 0..5), 0..30),
-        settled in 0..30_usize,
+        committed in 0..30_usize,
     ) {
-        // At times what stands does not fit, or can't be read: that no call is taken on top of it is the same, too.
+        // Sometimes the live items conflict or cannot be parsed. Both validations then reject the same calls.
         let mut item_set = ItemSet::default();
         if calls.len() % 4 == 0 {
             item_set.merge_all(unchecked);
         }
         let mut current = IndexedItems::new(item_set.clone());
-        for call in &calls[..settled.min(calls.len())] {
-            let (all, by_index) = (accept_update(&item_set, call), current.accept_update(call));
-            prop_assert_eq!(by_index.as_ref().ok(), all.as_ref().ok(), "{:?}", all);
-            prop_assert_eq!(by_index.is_err_and(|e| e.is_conflict()), all.as_ref().is_err_and(|e| e.is_conflict()));
-            let newer = all.unwrap_or_default();
+        for call in &calls[..committed.min(calls.len())] {
+            let (expected, by_index) = (accept_update(&item_set, call), current.accept_update(call));
+            prop_assert_eq!(by_index.as_ref().ok(), expected.as_ref().ok(), "{:?}", expected);
+            prop_assert_eq!(
+                by_index.is_err_and(|e| e.is_conflict()),
+                expected.as_ref().is_err_and(|e| e.is_conflict())
+            );
+            let newer = expected.unwrap_or_default();
             item_set.merge_all(newer.iter().cloned());
             current.merge_all(newer);
         }
-        // The rest as one turn's, over what is settled.
-        let mut turn = current.overlay();
-        for call in &calls[settled.min(calls.len())..] {
-            let all = accept_update(&item_set, call);
-            prop_assert_eq!(turn.accept_update(call).ok(), all.clone().ok(), "{:?}", all);
-            let newer = all.unwrap_or_default();
+        // The other calls go to an overlay on the committed items.
+        let mut uncommitted = current.overlay();
+        for call in &calls[committed.min(calls.len())..] {
+            let expected = accept_update(&item_set, call);
+            prop_assert_eq!(uncommitted.accept_update(call).ok(), expected.clone().ok(), "{:?}", expected);
+            let newer = expected.unwrap_or_default();
             item_set.merge_all(newer.iter().cloned());
-            turn.merge_all(newer);
+            uncommitted.merge_all(newer);
         }
-        prop_assert!(turn.to_item_set() == item_set);
+        prop_assert!(uncommitted.to_item_set() == item_set);
     }
 
     #[test]
-    fn an_unfit_call_is_told_a_fault_that_it_has(call in prop::collection::vec(item(), 0..9)) {
+    fn the_error_names_a_fault_of_the_rejected_call(call in prop::collection::vec(item(), 0..9)) {
         if let Err(error) = IndexedItems::default().accept_update(&call) {
             let mut item_set = ItemSet::default();
-            let of = |named: &str| {
-                let (kind, name) = named.split_once(' ').expect("kind and name");
+            let is_in_call = |item_label: &str| {
+                let (kind, name) = item_label.split_once(' ').expect("kind and name");
                 call.iter().any(|i| format!("{:?}", i.key.kind) == kind && i.key.name == name)
             };
-            prop_assert!(of(error.location.split('/').next().expect("a place")), "{}", error);
+            prop_assert!(is_in_call(error.location.split('/').next().expect("a location")), "{}", error);
             item_set.merge_all(call.clone());
             prop_assert!(error.is_conflict() || call.iter().any(|i| pinerelay_config_state::validation::check_item(i).is_err()) || check_references(&item_set).is_err());
         }
@@ -81,7 +84,7 @@
 }
 
 #[gtest]
-fn a_fault_of_what_stands_is_told_and_mended_by_a_call() {
+fn a_fault_of_the_live_items_is_reported_until_an_update_corrects_it() {
     let tenant = |name: &str, revision, key: &str| {
         let text = format!(r#"{{"api_keys":["{key}"]}}"#).into_bytes();
         Item::with_revision(Key::new(Kind::Tenant, name), revision, Some(text))
@@ -89,7 +92,7 @@
     let mut item_set = ItemSet::default();
     item_set.merge_all([tenant("a", 1, "k"), tenant("b", 1, "k")]);
     let current = IndexedItems::new(item_set);
-    let error = current.accept_update(&[tenant("c", 1, "x")]).expect_err("what stands does not fit");
+    let error = current.accept_update(&[tenant("c", 1, "x")]).expect_err("the live items conflict");
     expect_that!(error.to_string(), eq("Tenant b/api_keys: a has the same key"));
     expect_that!(current.accept_update(&[tenant("b", 2, "y")]), ok(len(eq(1))));
 }
