--- a/crates/config-state/src/rollout.rs
+++ b/crates/config-state/src/rollout.rs
@@ -111,7 +111,7 @@
     }
 
     /// The rollout state that an item holds; `None` if it is a tombstone or cannot be decoded.
-    pub fn of(item: &Item) -> Option<Rollout> {
+    pub fn from_item(item: &Item) -> Option<Rollout> {
         item.value.as_deref().and_then(Rollout::decode)
     }
 
@@ -232,7 +232,7 @@
         let service = self.service();
         let key = Rollout::key(service);
         let item = live(&key);
-        let current = item.and_then(Rollout::of);
+        let current = item.and_then(Rollout::from_item);
         let revision = item.map_or(0, |item| item.version.revision);
         let is_service = live(&Key::new(Kind::Service, service)).is_some_and(|item| item.value.is_some());
         if !is_service {
--- a/crates/config-state/src/rollout/tests.rs
+++ b/crates/config-state/src/rollout/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn current(live: &ItemSet) -> Rollout {
-    live.get(&Rollout::key("s")).and_then(Rollout::of).expect("a rollout")
+    live.get(&Rollout::key("s")).and_then(Rollout::from_item).expect("a rollout")
 }
 
 fn advance(live: &mut ItemSet, stage: Stage) -> std::result::Result<bool, ValidationError> {
--- a/crates/config-state/src/server.rs
+++ b/crates/config-state/src/server.rs
@@ -164,7 +164,7 @@
 
     /// Whether this report has no new information for proxies compared to an earlier one. A slow start runs out by itself;
     /// only one that has started again is an update.
-    pub fn adds_nothing_to(&self, earlier: &Server) -> bool {
+    pub fn is_redundant_to(&self, earlier: &Server) -> bool {
         let with_earlier_warmup = Server { warmup_ms: earlier.warmup_ms, ..self.clone() };
         with_earlier_warmup == *earlier && self.warmup_ms <= earlier.warmup_ms
     }
--- a/crates/config-state/src/server/tests.rs
+++ b/crates/config-state/src/server/tests.rs
@@ -34,8 +34,8 @@
     expect_that!(item_set.merge(Server::tombstone("i", 1_000)), eq(true));
     expect_that!(item_set.merge(in_state(ServerState::Ready).to_item("i", 7)), eq(false));
     let warmed_up = Server { warmup_ms: 0, ..heartbeat.server.clone() };
-    expect_that!(warmed_up.adds_nothing_to(&heartbeat.server), eq(true));
-    expect_that!(heartbeat.server.adds_nothing_to(&warmed_up), eq(false));
+    expect_that!(warmed_up.is_redundant_to(&heartbeat.server), eq(true));
+    expect_that!(heartbeat.server.is_redundant_to(&warmed_up), eq(false));
     let removal = Server::tombstone("i", 1_000);
     expect_that!(
         [1_000, 1_300, 1_301].map(|wall_clock| Server::is_expired_tombstone(&removal, wall_clock)),
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -480,7 +480,7 @@
 
 /// Returns the reply to a read of the rollout state of a service.
 fn read_rollout(live: &Overlay, service: &str) -> Reply {
-    let rollout = live.get(&Rollout::key(service)).and_then(Rollout::of);
+    let rollout = live.get(&Rollout::key(service)).and_then(Rollout::from_item);
     let not_found = || ValidationError::not_found("/of", format!("there is no rollout of {service}"));
     let text = rollout.and_then(|rollout| rollout.render());
     text.map_or_else(|| Reply::Rejected(not_found()), Reply::Text)
--- a/crates/registry/src/registry/endpoints.rs
+++ b/crates/registry/src/registry/endpoints.rs
@@ -112,7 +112,7 @@
             return self.acknowledge(now, call, out);
         }
         let known = old.and_then(|old| old.value.as_deref()).and_then(Server::decode);
-        if known.is_none_or(|known| !heartbeat.server.adds_nothing_to(&known)) {
+        if known.is_none_or(|known| !heartbeat.server.is_redundant_to(&known)) {
             let item = heartbeat.server.to_item(id, heartbeat.call_count);
             self.runtime_items_mut().merge(item.clone());
             self.note_server_item(&item);
--- a/crates/registry/tests/rollout_calls.rs
+++ b/crates/registry/tests/rollout_calls.rs
@@ -179,7 +179,7 @@
     }
 
     fn rollout(&self) -> Rollout {
-        self.committed.get(&Rollout::key("s1")).and_then(Rollout::of).expect("an item")
+        self.committed.get(&Rollout::key("s1")).and_then(Rollout::from_item).expect("an item")
     }
 
     /// Time passes until the rollout is at a stage, with reports as before.
