--- a/crates/consensus/tests/model/defects.rs
+++ b/crates/consensus/tests/model/defects.rs
@@ -5,7 +5,7 @@
 use crate::properties::{CURRENT, DURABLE, FIT, READ, SEEN, WHOLE};
 use crate::scope::{Before, Defect, Scope};
 use crate::searches::{change, searches, tenant};
-use crate::world::Left;
+use crate::state::Left;
 
 /// Each defect with the scope that is to find it, and what it is to break.
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one play with its checks")]
--- a/crates/consensus/tests/model/play.rs
+++ b/crates/consensus/tests/model/execution.rs
@@ -10,7 +10,7 @@
 use crate::properties::{ONCE, READ};
 use crate::scope::{Before, Defect, Scope, Step};
 use crate::shared::{hash_of, Shared};
-use crate::world::{holds, name, Calls, Done, Machine, Said, Turned, World};
+use crate::state::{holds, name, Calls, Done, Machine, Said, Turned, World};
 use stateright::Model;
 
 impl Scope {
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -4,16 +4,16 @@
 //! A word that stays on the way for ever is a lost one, so losing needs no step of its own.
 
 mod defects;
-mod play;
+mod execution;
 mod properties;
+mod random_walks;
 mod replacement;
 mod scope;
 mod searches;
 mod shared;
-mod steps;
+mod state;
 mod trace;
-mod walks;
-mod world;
+mod transitions;
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -24,9 +24,9 @@
 
 use crate::defects::defects;
 use crate::properties::{ACKNOWLEDGED, CONFLICT, REPAIRED};
+use crate::random_walks::{walk, wide};
 use crate::scope::{Scope, Step};
 use crate::searches::searches;
-use crate::walks::{walk, wide};
 
 /// A property's name, and the steps that lead there.
 type Found<A = Step> = (&'static str, Vec<A>);
--- a/crates/consensus/tests/model/properties.rs
+++ b/crates/consensus/tests/model/properties.rs
@@ -7,7 +7,7 @@
 
 use crate::scope::Scope;
 use crate::shared::hash_of;
-use crate::world::{choose, holds, quorum, stands, World};
+use crate::state::{choose, holds, quorum, stands, World};
 
 pub const FIT: &str = "what is agreed on fits together, under one number one content";
 pub const READ: &str = "a read shows what was known before it";
--- a/crates/consensus/tests/model/walks.rs
+++ b/crates/consensus/tests/model/random_walks.rs
@@ -5,7 +5,7 @@
 
 use crate::scope::{Scope, Step};
 use crate::searches::{change, searches, tenant};
-use crate::world::Left;
+use crate::state::Left;
 
 /// One walk by lot: which properties were broken or met, and at which step first.
 pub fn walk(scope: &Scope, seed: u64, most: usize) -> Vec<(&'static str, usize)> {
--- a/crates/consensus/tests/model/replacement/play.rs
+++ b/crates/consensus/tests/model/replacement/execution.rs
@@ -6,10 +6,10 @@
 use pinerelay_consensus::{Batch, Input, Member, Membership, Message, Output, Reply, Request, Store};
 use pinerelay_consensus::{Micros, StoreConfig};
 
-use super::judge::{BEFORE, EPOCH, ONCE, PACED, READ, SILENT, VOTES};
+use super::properties::{BEFORE, EPOCH, ONCE, PACED, READ, SILENT, VOTES};
 use super::scopes::{Defect, Scope};
-use super::world::{Epoch, Machine, Said, World};
-use crate::world::{holds, name, quorum};
+use super::state::{Epoch, Machine, Said, World};
+use crate::state::{holds, name, quorum};
 
 const TICK: Micros = 250_000;
 const TICKS_OF_A_ROUND: u32 = 2;
@@ -335,7 +335,7 @@
         }
     }
 
-    pub fn items(&self, set: crate::world::Calls) -> impl Iterator<Item = &Item> {
+    pub fn items(&self, set: crate::state::Calls) -> impl Iterator<Item = &Item> {
         let called = self.calls.iter().enumerate().filter(move |(n, _)| set & (1 << n) != 0);
         called.flat_map(|(_, (_, request))| match request {
             Request::Update(items) => items.as_slice(),
--- a/crates/consensus/tests/model/replacement/mod.rs
+++ b/crates/consensus/tests/model/replacement/mod.rs
@@ -3,20 +3,20 @@
 //!
 //! A store's silence lasts for seconds, so the words of a round are heard in one order; [`crate::searches`] has all orders.
 
-mod judge;
-mod play;
+mod execution;
+mod properties;
 mod scopes;
-mod steps;
-mod world;
+mod state;
+mod transitions;
 
 use std::time::Instant;
 
 use crate::{explore, Found};
-use judge::is_wrong;
+use properties::is_wrong;
 use scopes::{defects, searches, Scope};
 
 /// What was found, and how many states were seen.
-fn search(scope: Scope) -> (Vec<Found<world::Step>>, usize) {
+fn search(scope: Scope) -> (Vec<Found<state::Step>>, usize) {
     let (found, states, _) = explore(scope, scopes::DEPTH);
     (found, states)
 }
--- a/crates/consensus/tests/model/replacement/judge.rs
+++ b/crates/consensus/tests/model/replacement/properties.rs
@@ -7,8 +7,8 @@
 use stateright::Property;
 
 use super::scopes::Scope;
-use super::world::World;
-use crate::world::{choose, holds, name, quorum, stands};
+use super::state::World;
+use crate::state::{choose, holds, name, quorum, stands};
 
 pub const FIT: &str = "what is agreed on fits together, under one number one content";
 pub const READ: &str = "a read shows what was known before it";
--- a/crates/consensus/tests/model/replacement/scopes.rs
+++ b/crates/consensus/tests/model/replacement/scopes.rs
@@ -2,8 +2,8 @@
 
 use pinerelay_consensus::Request;
 
-use super::judge::{AFTER, AGAIN, BACK, BEFORE, MEET, PACED, REPLACED, SILENT, TWICE, VOTES};
-use super::world::{Kind, Step};
+use super::properties::{AFTER, AGAIN, BACK, BEFORE, MEET, PACED, REPLACED, SILENT, TWICE, VOTES};
+use super::state::{Kind, Step};
 use crate::searches::tenant;
 
 /// No search comes so deep: the rounds and events of a scope end it.
--- a/crates/consensus/tests/model/replacement/world.rs
+++ b/crates/consensus/tests/model/replacement/state.rs
@@ -6,7 +6,7 @@
 use pinerelay_consensus::PersistentState;
 use pinerelay_consensus::{Ballot, Member, Membership, Message, Store};
 
-use crate::world::{name, Calls};
+use crate::state::{name, Calls};
 
 /// A word on its way.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
--- a/crates/consensus/tests/model/replacement/steps.rs
+++ b/crates/consensus/tests/model/replacement/transitions.rs
@@ -2,9 +2,9 @@
 
 use stateright::{Model, Property};
 
-use super::judge;
+use super::properties;
 use super::scopes::{Event, Scope};
-use super::world::{Step, World};
+use super::state::{Step, World};
 
 impl Scope {
     /// Whether the step can be taken, and then the state after it.
@@ -74,6 +74,6 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        judge::all()
+        properties::all()
     }
 }
--- a/crates/consensus/tests/model/scope.rs
+++ b/crates/consensus/tests/model/scope.rs
@@ -6,7 +6,7 @@
 use pinerelay_consensus::Request;
 
 use crate::shared::{Memo, Shared};
-use crate::world::{Calls, Left, Said, Turned};
+use crate::state::{Calls, Left, Said, Turned};
 
 #[derive(Clone, PartialEq)]
 pub enum Step {
--- a/crates/consensus/tests/model/searches.rs
+++ b/crates/consensus/tests/model/searches.rs
@@ -6,7 +6,7 @@
 use crate::properties::{ACKNOWLEDGED, CONFLICT, REPAIRED};
 use crate::scope::{Before, Scope};
 use crate::shared::Memo;
-use crate::world::{name, Left};
+use crate::state::{name, Left};
 
 pub fn tenant(name: &str, revision: u64, key: &str) -> Request {
     let text = format!(
--- a/crates/consensus/tests/model/trace.rs
+++ b/crates/consensus/tests/model/trace.rs
@@ -6,7 +6,7 @@
 use pinerelay_consensus::{Ballot, Batch, Member, Membership, Message};
 
 use crate::scope::Step;
-use crate::world::{letter, name};
+use crate::state::{letter, name};
 
 pub fn items(items: &[Item]) -> String {
     let one = |i: &Item| {
--- a/crates/consensus/tests/model/steps.rs
+++ b/crates/consensus/tests/model/transitions.rs
@@ -8,7 +8,7 @@
 use crate::properties;
 use crate::scope::{Defect, Scope, Step};
 use crate::shared::hash_of;
-use crate::world::{name, Machine, World};
+use crate::state::{name, Machine, World};
 
 impl Model for Scope {
     type State = World;
