--- a/crates/consensus/tests/model/defects.rs
+++ b/crates/consensus/tests/model/defects.rs
@@ -1,81 +1,96 @@
-//! The seeded defects, each with the scope that is to find it.
+//! The seeded defects, each with a scope in which the search has to find it.
 
 use pinerelay_consensus::Request;
 
-use crate::properties::{CURRENT, DURABLE, FIT, READ, SEEN, WHOLE};
-use crate::scope::{Before, Defect, Scope};
-use crate::searches::{change, searches, tenant};
-use crate::state::Left;
+use crate::properties::{COMPLETE, CONSISTENT, CURRENT, DURABLE, FRESH_READ, RECOVERABLE};
+use crate::scope::{Defect, PriorCall, Scope};
+use crate::searches::{change_membership, searches, tenant};
+use crate::state::Budget;
 
-/// Each defect with the scope that is to find it, and what it is to break.
+/// Each defect with its scope, and the properties of which the search has to find one violated.
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one play with its checks")]
 pub fn defects() -> Vec<(Defect, Scope, &'static [&'static str])> {
     use Defect::*;
     let named = |name: &str| searches(false).into_iter().find(|s| s.name == name).expect(name);
-    let small = |calls: &[(usize, Request)], left, depth| Scope {
+    let small = |calls: &[(usize, Request)], budget, depth| Scope {
         calls: calls.to_vec(),
-        left,
+        budget,
         depth,
-        meets: Vec::new(),
-        ..named("two at one store")
+        reaches: Vec::new(),
+        ..named("two updates at one store")
     };
-    let none = Left::default();
+    let none = Budget::default();
     let calls = [(0, tenant("t1", 1, "k1")), (0, tenant("t2", 1, "k2"))];
-    let crash = Left { crashes: 1, ..none };
-    let wipe = Left { wipes: 1, ..none };
-    let held_by = |call, deaf, untold| vec![Before { call, deaf, untold, ..Before::default() }];
-    let c_again = (0, change(2, &[(0, 0), (1, 0), (2, 2)]));
-    let to_d = (0, change(2, &[(0, 0), (1, 0), (3, 1)]));
+    let crash = Budget { crashes: 1, ..none };
+    let wipe = Budget { wipes: 1, ..none };
+    let prior_call = |call, unreachable, commits_in_flight| {
+        vec![PriorCall { call, unreachable, commits_in_flight, ..PriorCall::default() }]
+    };
+    let rejoin_c = (0, change_membership(2, &[(0, 0), (1, 0), (2, 2)]));
+    let move_c_to_d = (0, change_membership(2, &[(0, 0), (1, 0), (3, 1)]));
     vec![
-        (ForgetsPromises, named("two that clash, a restart"), &[FIT, DURABLE, SEEN, READ]),
-        (TellsUnsynced, Scope { late: vec![0, 1, 2], ..small(&calls[..1], crash, 10) }, &[DURABLE, SEEN]),
         (
-            LeavesOutFill,
-            Scope { already: held_by(0, vec![2], true), ..small(&calls, none, 6) },
-            &[DURABLE, SEEN],
+            ForgetsPromises,
+            named("two conflicting updates, a restart"),
+            &[CONSISTENT, DURABLE, RECOVERABLE, FRESH_READ],
+        ),
+        (
+            ReportsWriteBeforeSync,
+            Scope { delayed_sync: vec![0, 1, 2], ..small(&calls[..1], crash, 10) },
+            &[DURABLE, RECOVERABLE],
+        ),
+        (
+            OmitsMissingItems,
+            Scope { prior_calls: prior_call(0, vec![2], true), ..small(&calls, none, 6) },
+            &[DURABLE, RECOVERABLE],
         ),
         (
-            TakesEmptyDiskForFirst,
-            Scope { already: held_by(0, vec![2], false), ..small(&calls[..1], wipe, 4) },
-            &[DURABLE, SEEN],
+            TreatsEmptyDiskAsFirstStart,
+            Scope { prior_calls: prior_call(0, vec![2], false), ..small(&calls[..1], wipe, 4) },
+            &[DURABLE, RECOVERABLE],
         ),
         (
-            SettlesUnderOwnEpoch,
-            named("a member that missed a change, an order at each side"),
-            &[DURABLE, SEEN],
+            CommitsUnderReceiverEpoch,
+            named("a member that missed a membership change, updates at two stores"),
+            &[DURABLE, RECOVERABLE],
         ),
         (
             PromisesInPastEpoch,
-            named("a member that learns of a change while its promise waits for the disk"),
-            &[DURABLE, SEEN],
+            named("a member that learns of a membership change while its promise waits for a write"),
+            &[DURABLE, RECOVERABLE],
         ),
         (
-            TakesEmptyDiskForWhole,
+            MarksEmptyDiskComplete,
             Scope {
-                already: held_by(0, vec![2], false),
-                ..small(&[calls[0].clone(), c_again.clone()], wipe, 11)
+                prior_calls: prior_call(0, vec![2], false),
+                ..small(&[calls[0].clone(), rejoin_c.clone()], wipe, 11)
             },
-            &[WHOLE],
+            &[COMPLETE],
         ),
         (
             ReusesBallots,
             Scope {
-                late: vec![0],
+                delayed_sync: vec![0],
                 restarted: vec![(0, false)],
-                already: vec![Before { call: 0, unsynced: vec![0], doubled: true, ..Before::default() }],
+                prior_calls: vec![PriorCall {
+                    call: 0,
+                    unsynced_machines: vec![0],
+                    duplicate_promises: true,
+                    ..PriorCall::default()
+                }],
                 ..small(&calls, crash, 10)
             },
-            &[DURABLE, SEEN, FIT],
+            &[DURABLE, RECOVERABLE, CONSISTENT],
         ),
-        (HidesPending, named("digests, an order"), &[CURRENT]),
+        (HidesPending, named("heartbeats, two updates"), &[CURRENT]),
         (
-            LeavesOutOldMembers,
+            BypassesOldQuorum,
             Scope {
-                cores: 4,
-                already: held_by(0, vec![0], false),
-                ..small(&[(1, tenant("t1", 1, "k1")), to_d, calls[1].clone()], none, 6)
+                machine_count: 4,
+                prior_calls: prior_call(0, vec![0], false),
+                ..small(&[(1, tenant("t1", 1, "k1")), move_c_to_d, calls[1].clone()], none, 6)
             },
-            &[DURABLE, SEEN],
+            &[DURABLE, RECOVERABLE],
         ),
     ]
 }
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -1,7 +1,8 @@
-//! Every interleaving of a few stores and calls, to a bound: the stores themselves, disks that sync late, a network that
-//! loses, holds up, reorders and doubles words, processes that end and start again, disks that come back empty.
+//! Model check of the consensus: explores every interleaving of a few stores and calls up to a bounded depth. The model runs
+//! the real [`pinerelay_consensus::Store`] on disks that sync late, with a network that loses, delays, reorders and
+//! duplicates messages, processes that crash and restart, and disks that come back empty.
 //!
-//! A word that stays on the way for ever is a lost one, so losing needs no step of its own.
+//! A message that is never delivered is a lost one, so message loss needs no step of its own.
 
 mod defects;
 mod execution;
@@ -23,22 +24,22 @@
 use stateright::{Checker, HasDiscoveries, Model};
 
 use crate::defects::defects;
-use crate::properties::{ACKNOWLEDGED, CONFLICT, REPAIRED};
-use crate::random_walks::{walk, wide};
+use crate::properties::{CONFLICT, REPAIRED, TWO_ACKNOWLEDGED};
+use crate::random_walks::{random_walk, random_walk_scope};
 use crate::scope::{Scope, Step};
 use crate::searches::searches;
 
-/// A property's name, and the steps that lead there.
-type Found<A = Step> = (&'static str, Vec<A>);
+/// The name of a property, and the trace that violates it or, for a `sometimes` property, reaches it.
+type Discovery<A = Step> = (&'static str, Vec<A>);
 
-/// What was found, how many states were seen, and to which depth.
-fn search(scope: Scope) -> (Vec<Found>, usize, usize) {
+/// Searches a scope to its depth. Returns the discoveries, the number of unique states, and the depth reached.
+fn search(scope: Scope) -> (Vec<Discovery>, usize, usize) {
     let depth = scope.depth;
     explore(scope, depth)
 }
 
-/// The same of any model.
-fn explore<M>(model: M, depth: usize) -> (Vec<Found<M::Action>>, usize, usize)
+/// Breadth-first search of any model to a depth, ended early by a violation. Returns the same as [`search`].
+fn explore<M>(model: M, depth: usize) -> (Vec<Discovery<M::Action>>, usize, usize)
 where
     M: Model + Send + Sync + 'static,
     M::State: Clone + Debug + Hash + PartialEq + Send + Sync,
@@ -56,77 +57,82 @@
     (found, checker.unique_state_count(), checker.max_depth())
 }
 
-fn is_wrong((what, _): &Found) -> bool {
-    ![ACKNOWLEDGED, CONFLICT, REPAIRED].contains(what)
+fn is_violation((property, _): &Discovery) -> bool {
+    ![TWO_ACKNOWLEDGED, CONFLICT, REPAIRED].contains(property)
 }
 
 #[test]
-fn no_search_breaks_anything() {
+fn searches_find_no_violation() {
     let long = std::env::var("DANCE_SCOPE").is_ok_and(|scope| scope == "long");
-    let only = std::env::var("DANCE_ONLY").unwrap_or_default();
-    let mut broken = Vec::new();
-    for scope in searches(long).into_iter().filter(|scope| scope.name.contains(&only)) {
-        let (name, meets) = (scope.name, scope.meets.clone());
-        let begun = Instant::now();
+    let selected = std::env::var("DANCE_ONLY").unwrap_or_default();
+    let mut violations = Vec::new();
+    for scope in searches(long).into_iter().filter(|scope| scope.name.contains(&selected)) {
+        let (name, reaches) = (scope.name, scope.reaches.clone());
+        let started_at = Instant::now();
         let (found, states, depth) = search(scope);
-        println!("{name}: {states} states to depth {depth} in {:?}", begun.elapsed());
-        for what in &meets {
-            assert!(found.iter().any(|(met, _)| met == what), "{name}: {what}");
+        println!("{name}: {states} states to depth {depth} in {:?}", started_at.elapsed());
+        for property in &reaches {
+            assert!(
+                found.iter().any(|(discovered, _)| discovered == property),
+                "{name}: {property:?} is not reached"
+            );
         }
-        for (what, steps) in found.iter().filter(|found| is_wrong(found)) {
-            println!("    {what}: {} steps {steps:#?}", steps.len());
-            broken.push((name, *what));
+        for (property, steps) in found.iter().filter(|found| is_violation(found)) {
+            println!("    {property}: {} steps {steps:#?}", steps.len());
+            violations.push((name, *property));
         }
     }
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(violations.is_empty(), "violations: {violations:?}");
 }
 
 #[test]
 fn each_defect_is_found() {
     let long = std::env::var("DANCE_SCOPE").is_ok_and(|scope| scope == "long");
-    let only = std::env::var("DANCE_ONLY").unwrap_or_default();
+    let selected = std::env::var("DANCE_ONLY").unwrap_or_default();
     let mut missed = Vec::new();
-    for (defect, scope, breaks) in defects() {
-        if !format!("{defect:?}").contains(&only) {
+    for (defect, scope, expected) in defects() {
+        if !format!("{defect:?}").contains(&selected) {
             continue;
         }
         if long {
             let (found, ..) = search(scope.clone());
-            assert!(!found.iter().any(is_wrong), "without {defect:?}: {found:#?}");
+            assert!(!found.iter().any(is_violation), "violation without {defect:?}: {found:#?}");
         }
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let (found, states, depth) = search(Scope { defect: Some(defect), ..scope });
-        let found: Vec<Found> = found.into_iter().filter(is_wrong).collect();
-        println!("{defect:?}: {states} states to depth {depth} in {:?}", begun.elapsed());
-        for (what, steps) in &found {
-            println!("    {what}: {} steps", steps.len());
+        let found: Vec<Discovery> = found.into_iter().filter(is_violation).collect();
+        println!("{defect:?}: {states} states to depth {depth} in {:?}", started_at.elapsed());
+        for (property, steps) in &found {
+            println!("    {property}: {} steps", steps.len());
         }
-        if !found.iter().any(|(what, _)| breaks.contains(what)) {
+        if !found.iter().any(|(property, _)| expected.contains(property)) {
             missed.push(defect);
         }
     }
-    assert!(missed.is_empty(), "{missed:?}");
+    assert!(missed.is_empty(), "defects without a violation: {missed:?}");
 }
 
 #[test]
-fn walks_go_where_searches_do_not_reach() {
+fn random_walks_find_no_violation() {
     let walks = std::env::var("DANCE_WALKS").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
-    let scope = wide();
-    let begun = Instant::now();
-    let mut met: BTreeMap<&str, (u64, u64, usize)> = BTreeMap::new();
+    let scope = random_walk_scope();
+    let started_at = Instant::now();
+    let mut discovered: BTreeMap<&str, (u64, u64, usize)> = BTreeMap::new();
     for seed in 0..walks {
-        for (what, at) in walk(&scope, seed, 200) {
-            met.entry(what).or_insert((0, seed, at)).0 += 1;
+        for (property, at) in random_walk(&scope, seed, 200) {
+            discovered.entry(property).or_insert((0, seed, at)).0 += 1;
         }
     }
-    println!("{walks} walks in {:?}", begun.elapsed());
-    for (what, (times, seed, at)) in &met {
-        println!("    {what}: {times} times, first at step {at} of seed {seed}");
+    println!("{walks} walks in {:?}", started_at.elapsed());
+    for (property, (times, seed, at)) in &discovered {
+        println!("    {property}: {times} times, first at step {at} of seed {seed}");
     }
-    let broken: Vec<_> =
-        met.keys().filter(|what| ![ACKNOWLEDGED, CONFLICT, REPAIRED].contains(what)).collect();
-    assert!(broken.is_empty(), "{broken:?}");
-    for what in [ACKNOWLEDGED, CONFLICT, REPAIRED] {
-        assert!(met.contains_key(what), "{what}");
+    let violations: Vec<_> = discovered
+        .keys()
+        .filter(|property| ![TWO_ACKNOWLEDGED, CONFLICT, REPAIRED].contains(property))
+        .collect();
+    assert!(violations.is_empty(), "violations: {violations:?}");
+    for property in [TWO_ACKNOWLEDGED, CONFLICT, REPAIRED] {
+        assert!(discovered.contains_key(property), "{property:?} is not reached");
     }
 }
--- a/crates/consensus/tests/model/properties.rs
+++ b/crates/consensus/tests/model/properties.rs
@@ -1,4 +1,4 @@
-//! What every state is judged by.
+//! The properties that are checked in every state.
 
 use pinerelay_config_state::{validation, Item, ItemSet};
 use pinerelay_consensus::store::LEASE_DURATION;
@@ -7,116 +7,149 @@
 
 use crate::scope::Scope;
 use crate::shared::hash_of;
-use crate::state::{choose, holds, quorum, stands, World};
+use crate::state::{combinations, holds_item, quorum_size, recovered_items, SystemState};
 
-pub const FIT: &str = "what is agreed on fits together, under one number one content";
-pub const READ: &str = "a read shows what was known before it";
+pub const CONSISTENT: &str = "committed items have valid references, and one content per revision";
+pub const FRESH_READ: &str = "a read returns the updates that were acknowledged or read before it";
 pub const DURABLE: &str = "what is acknowledged is on a quorum of disks";
-pub const SEEN: &str = "every quorum of disks shows what is acknowledged";
-pub const REFUSED: &str = "what is refused never takes force";
-pub const EPOCH: &str = "an epoch has one membership";
-pub const CURRENT: &str = "a copy that is current holds what was acknowledged before it asked";
-pub const WHOLE: &str = "a copy that is whole again holds what was acknowledged before its disk was lost";
-pub const ONCE: &str = "a call is answered once";
-pub const ACKNOWLEDGED: &str = "two are acknowledged";
-pub const CONFLICT: &str = "one is refused";
-pub const REPAIRED: &str = "a lost disk is made whole";
+pub const RECOVERABLE: &str = "every quorum of disks recovers what is acknowledged";
+pub const NO_REJECTED_EFFECT: &str = "a rejected update never takes effect";
+pub const ONE_MEMBERSHIP: &str = "an epoch has one membership";
+pub const CURRENT: &str = "a current replica holds what was acknowledged before its confirmed heartbeat";
+pub const COMPLETE: &str =
+    "a replica that is complete again holds what was acknowledged before its disk was lost";
+pub const ONE_REPLY: &str = "a call gets at most one reply";
+pub const TWO_ACKNOWLEDGED: &str = "two items are acknowledged";
+pub const CONFLICT: &str = "an update is rejected";
+pub const REPAIRED: &str = "a lost disk is replaced: every member has its disk";
 
 impl Scope {
-    /// All that any store or disk holds for settled, and what was acknowledged.
-    pub fn agreed<'a>(&'a self, world: &'a World) -> impl Iterator<Item = &'a Item> {
-        let disks =
-            world.machines.iter().filter_map(|m| m.disk.1.as_ref().as_ref()).flat_map(|kept| &kept.items);
-        let stores = world.machines.iter().filter_map(|m| m.store.as_ref()).flat_map(|s| s.items().iter());
-        disks.chain(stores).chain(self.items(world.acknowledged))
+    /// The items that any store or disk holds as committed, and those of acknowledged updates.
+    pub fn committed_items<'a>(&'a self, state: &'a SystemState) -> impl Iterator<Item = &'a Item> {
+        let disks = state
+            .machines
+            .iter()
+            .filter_map(|m| m.disk.1.as_ref().as_ref())
+            .flat_map(|persisted| &persisted.items);
+        let stores = state.machines.iter().filter_map(|m| m.store.as_ref()).flat_map(|s| s.items().iter());
+        disks.chain(stores).chain(self.items(state.acknowledged))
     }
 
-    pub fn fit(&self, world: &World) -> bool {
+    pub fn consistent(&self, state: &SystemState) -> bool {
         let mut all = ItemSet::default();
-        all.merge_all(self.agreed(world).cloned());
-        let one_content = self.agreed(world).all(|item| {
+        all.merge_all(self.committed_items(state).cloned());
+        let one_content = self.committed_items(state).all(|item| {
             all.get(&item.key).is_some_and(|a| a.version.revision != item.version.revision || a == item)
         });
         one_content && validation::check_references(&all).is_ok()
     }
 
-    pub fn durable(&self, world: &World) -> bool {
-        let disks = world.disks();
-        let on = |item: &Item| {
-            let pends = |kept: &PersistentState| kept.pending.iter().any(|batch| batch.items.contains(item));
-            disks.iter().filter(|kept| holds(&kept.items, item) || pends(kept)).count()
+    /// Members that have lost their disk count as holding the item.
+    pub fn durable(&self, state: &SystemState) -> bool {
+        let disks = state.member_disks();
+        let disks_with = |item: &Item| {
+            let is_pending = |persisted: &PersistentState| {
+                persisted.pending.iter().any(|batch| batch.items.contains(item))
+            };
+            disks
+                .iter()
+                .filter(|persisted| holds_item(&persisted.items, item) || is_pending(persisted))
+                .count()
         };
-        let all = world.newest().members.len();
-        self.items(world.acknowledged).all(|item| on(item) + world.lost() >= quorum(all))
+        let members = state.newest_membership().members.len();
+        self.items(state.acknowledged)
+            .all(|item| disks_with(item) + state.lost_disks() >= quorum_size(members))
     }
 
-    pub fn seen(&self, world: &World) -> bool {
-        let disks = world.disks();
-        // With some lost all that are left are asked, at most.
-        let enough = quorum(world.newest().members.len()).min(disks.len());
-        choose(&disks, enough).into_iter().all(|set| {
-            let item_set = stands(set.into_iter());
-            self.items(world.acknowledged)
-                .all(|item| item_set.get(&item.key).is_some_and(|c| c.version >= item.version))
+    pub fn recoverable(&self, state: &SystemState) -> bool {
+        let disks = state.member_disks();
+        // If disks are lost, less than a quorum may be left; then all that are left are taken.
+        let required = quorum_size(state.newest_membership().members.len()).min(disks.len());
+        combinations(&disks, required).into_iter().all(|set| {
+            let items = recovered_items(set.into_iter());
+            self.items(state.acknowledged)
+                .all(|item| items.get(&item.key).is_some_and(|c| c.version >= item.version))
         })
     }
 
-    pub fn current(&self, world: &World) -> bool {
-        world.machines.iter().all(|machine| {
+    pub fn current(&self, state: &SystemState) -> bool {
+        state.machines.iter().all(|machine| {
             let Some(store) = &machine.store else { return true };
-            // The last digest that a quorum has confirmed.
-            let confirmed =
-                machine.told.iter().rev().find(|(at, _)| store.is_current(at + LEASE_DURATION - 1));
-            confirmed.is_none_or(|(_, known)| {
-                let item_set: Vec<Item> = store.items().iter().cloned().collect();
-                self.items(*known).all(|item| holds(&item_set, item))
+            // The last heartbeat that a quorum has confirmed.
+            let confirmed = machine
+                .heartbeats_sent
+                .iter()
+                .rev()
+                .find(|(at, _)| store.is_current(at + LEASE_DURATION - 1));
+            confirmed.is_none_or(|(_, acknowledged)| {
+                let items: Vec<Item> = store.items().iter().cloned().collect();
+                self.items(*acknowledged).all(|item| holds_item(&items, item))
             })
         })
     }
 
-    pub fn whole(&self, world: &World) -> bool {
-        world.machines.iter().all(|machine| {
-            let store = machine.store.as_ref().filter(|store| machine.lost != 0 && store.is_complete());
+    pub fn complete(&self, state: &SystemState) -> bool {
+        state.machines.iter().all(|machine| {
+            let store = machine
+                .store
+                .as_ref()
+                .filter(|store| machine.acknowledged_at_wipe != 0 && store.is_complete());
             store.is_none_or(|store| {
-                let item_set: Vec<Item> = store.items().iter().cloned().collect();
-                self.items(machine.lost).all(|item| holds(&item_set, item))
+                let items: Vec<Item> = store.items().iter().cloned().collect();
+                self.items(machine.acknowledged_at_wipe).all(|item| holds_item(&items, item))
             })
         })
     }
 
-    pub fn refused(&self, world: &World) -> bool {
-        world.refused == 0 || {
-            let refused: Vec<&Item> = self.items(world.refused).collect();
-            self.agreed(world).all(|item| !refused.contains(&item))
+    pub fn rejected_without_effect(&self, state: &SystemState) -> bool {
+        state.rejected == 0 || {
+            let rejected: Vec<&Item> = self.items(state.rejected).collect();
+            self.committed_items(state).all(|item| !rejected.contains(&item))
         }
     }
 }
 
-/// All of them.
+/// All properties: first those that must always hold, then those that a search may have to reach.
 pub fn all() -> Vec<Property<Scope>> {
-    // What is judged by the machines and the calls' ends alone is judged once for all states that share those.
-    fn once(scope: &Scope, world: &World, what: &str, judge: fn(&Scope, &World) -> bool) -> bool {
+    // A property that depends only on the machines and the outcomes of calls is computed once for all states that share
+    // them.
+    fn memoized(
+        scope: &Scope,
+        state: &SystemState,
+        name: &str,
+        condition: fn(&Scope, &SystemState) -> bool,
+    ) -> bool {
         let machines: Vec<_> =
-            world.machines.iter().map(|m| (m.disk.0, m.store.as_ref().map(|s| s.0))).collect();
-        let ends = (world.acknowledged, world.refused, world.epochs.0);
-        scope.judged.of(hash_of((what, machines, ends)), || judge(scope, world))
+            state.machines.iter().map(|m| (m.disk.0, m.store.as_ref().map(|s| s.0))).collect();
+        let outcomes = (state.acknowledged, state.rejected, state.epochs.0);
+        scope
+            .property_results
+            .get_or_insert_with(hash_of((name, machines, outcomes)), || condition(scope, state))
     }
     vec![
-        Property::always(FIT, |scope: &Scope, world: &World| once(scope, world, FIT, Scope::fit)),
-        Property::always(READ, |_, world: &World| world.wrong != Some(READ)),
-        Property::always(ONCE, |_, world: &World| world.wrong != Some(ONCE)),
-        Property::always(EPOCH, |_, world: &World| world.wrong != Some(EPOCH)),
-        Property::always(CURRENT, |scope: &Scope, world: &World| scope.current(world)),
-        Property::always(WHOLE, |scope: &Scope, world: &World| scope.whole(world)),
-        Property::always(DURABLE, |scope: &Scope, world: &World| once(scope, world, DURABLE, Scope::durable)),
-        Property::always(SEEN, |scope: &Scope, world: &World| once(scope, world, SEEN, Scope::seen)),
-        Property::always(REFUSED, |scope: &Scope, world: &World| once(scope, world, REFUSED, Scope::refused)),
-        Property::sometimes(ACKNOWLEDGED, |scope: &Scope, world: &World| {
-            scope.items(world.acknowledged).count() > 1
+        Property::always(CONSISTENT, |scope: &Scope, state: &SystemState| {
+            memoized(scope, state, CONSISTENT, Scope::consistent)
         }),
-        Property::sometimes(CONFLICT, |_, world: &World| world.refused != 0),
-        Property::sometimes(REPAIRED, |scope: &Scope, world: &World| {
-            world.left.wipes < scope.left.wipes && world.lost() == 0
+        Property::always(FRESH_READ, |_, state: &SystemState| state.violation != Some(FRESH_READ)),
+        Property::always(ONE_REPLY, |_, state: &SystemState| state.violation != Some(ONE_REPLY)),
+        Property::always(ONE_MEMBERSHIP, |_, state: &SystemState| state.violation != Some(ONE_MEMBERSHIP)),
+        Property::always(CURRENT, |scope: &Scope, state: &SystemState| scope.current(state)),
+        Property::always(COMPLETE, |scope: &Scope, state: &SystemState| scope.complete(state)),
+        Property::always(DURABLE, |scope: &Scope, state: &SystemState| {
+            memoized(scope, state, DURABLE, Scope::durable)
+        }),
+        Property::always(RECOVERABLE, |scope: &Scope, state: &SystemState| {
+            memoized(scope, state, RECOVERABLE, Scope::recoverable)
+        }),
+        Property::always(NO_REJECTED_EFFECT, |scope: &Scope, state: &SystemState| {
+            memoized(scope, state, NO_REJECTED_EFFECT, Scope::rejected_without_effect)
+        }),
+        Property::sometimes(TWO_ACKNOWLEDGED, |scope: &Scope, state: &SystemState| {
+            scope.items(state.acknowledged).count() > 1
+        }),
+        Property::sometimes(CONFLICT, |_, state: &SystemState| state.rejected != 0),
+        Property::sometimes(REPAIRED, |scope: &Scope, state: &SystemState| {
+            state.budget.wipes < scope.budget.wipes && state.lost_disks() == 0
         }),
     ]
 }
--- a/crates/consensus/tests/model/replacement/execution.rs
+++ b/crates/consensus/tests/model/replacement/execution.rs
@@ -1,4 +1,4 @@
-//! How the stores are given their inputs, and what they want done is carried out.
+//! Feeds inputs to the stores, applies their outputs to the state, and checks some properties on the way.
 
 use pinerelay_config_state::{operator_call, Item};
 use pinerelay_consensus::store::MEMBERSHIP_CHANGE_INTERVAL;
@@ -6,347 +6,378 @@
 use pinerelay_consensus::{Batch, Input, Member, Membership, Message, Output, Reply, Request, Store};
 use pinerelay_consensus::{Micros, StoreConfig};
 
-use super::properties::{BEFORE, EPOCH, ONCE, PACED, READ, SILENT, VOTES};
+use super::properties::{
+    CHANGE_INTERVAL, COMMIT_QUORUM, FRESH_READ, ONE_MEMBERSHIP, ONE_REPLY, PREVIOUS_NAMES,
+    REPLACED_AFTER_SILENCE,
+};
 use super::scopes::{Defect, Scope};
-use super::state::{Epoch, Machine, Said, World};
-use crate::state::{holds, name, quorum};
+use super::state::{Envelope, Epoch, Machine, SystemState};
+use crate::state::{holds_item, quorum_size, store_name};
 
+/// Interval of the ticks that a store gets.
 const TICK: Micros = 250_000;
-const TICKS_OF_A_ROUND: u32 = 2;
-/// A member that has said nothing for so long may be replaced.
-const GONE: Micros = 2_500_000;
-/// A turn that proposes it ends within this.
-const TURN: Micros = 1_000_000;
-/// A process that has not ticked for so long has stood still.
-const STOOD_STILL: Micros = 700_000;
-/// Digests are remembered for longer than a lease lasts.
-const TOLD: usize = 24;
+const TICKS_PER_ROUND: u32 = 2;
+/// A member whose heartbeats have been missing for so long may be replaced.
+const FAILURE_TIMEOUT: Micros = 2_500_000;
+/// A proposal to replace a member follows within this time after the member was last found silent.
+const PROPOSAL_TIME: Micros = 1_000_000;
+/// A process that has not ticked for longer than this has stalled.
+const STALL: Micros = 700_000;
+/// The number of sent heartbeats that are remembered: more than a lease lasts.
+const HEARTBEATS_KEPT: usize = 24;
 
 impl Scope {
-    pub fn first_state(&self) -> World {
-        let first = Membership::first((0..self.voters).map(name));
-        let mut world = World {
+    /// The state after the first start, a few rounds and one acknowledged call.
+    pub fn initial_state(&self) -> SystemState {
+        let first_membership = Membership::first((0..self.voters).map(store_name));
+        let mut state = SystemState {
             now: 0,
             round: 0,
-            machines: vec![Machine::default(); self.cores],
-            wire: Default::default(),
-            cuts: self.cuts.iter().copied().collect(),
-            loses: None,
-            threads: vec![0; self.threads.len()],
-            open: Vec::new(),
-            known: 0,
+            machines: vec![Machine::default(); self.machine_count],
+            network: Default::default(),
+            cut_links: self.cut_links.iter().copied().collect(),
+            lost_kind: None,
+            timelines: vec![0; self.timelines.len()],
+            open_calls: Vec::new(),
+            observed: 0,
             acknowledged: 0,
-            refused: 0,
-            epochs: [(1, Epoch { membership: first, since: 0 })].into(),
+            rejected: 0,
+            epochs: [(1, Epoch { membership: first_membership, since: 0 })].into(),
             proposed: Default::default(),
-            kept: Default::default(),
-            agreed: Default::default(),
-            renamed: None,
-            renames: 0,
-            taken_since: false,
-            wrong: None,
+            accepted_by: Default::default(),
+            committed_ballots: Default::default(),
+            names_changed_at: None,
+            name_changes: 0,
+            acknowledged_after_replacement: false,
+            violation: None,
         };
-        (0..self.cores).for_each(|me| self.start(&mut world, me, me < self.voters));
-        for _ in 0..self.settled {
-            self.pass(&mut world);
+        (0..self.machine_count).for_each(|me| self.start(&mut state, me, me < self.voters));
+        for _ in 0..self.warmup_rounds {
+            self.run_round(&mut state);
         }
-        self.call(&mut world, 0);
-        self.pass(&mut world);
-        assert_eq!(world.acknowledged, 1, "{}: the first order", self.name);
-        world.round = 0;
-        world
+        self.call(&mut state, 0);
+        self.run_round(&mut state);
+        assert_eq!(state.acknowledged, 1, "{}: the first call is not acknowledged", self.name);
+        state.round = 0;
+        state
     }
 
-    pub fn start(&self, world: &mut World, me: usize, first: bool) {
-        let now = world.now;
-        let machine = &mut world.machines[me];
-        machine.life += 1;
-        let seeds = (0..self.voters).map(name).collect();
-        let birth = StoreConfig {
-            name: name(me),
-            process_id: machine.life,
+    /// Starts a process on a machine. `first_start`: the system starts for the first time.
+    pub fn start(&self, state: &mut SystemState, me: usize, first_start: bool) {
+        let now = state.now;
+        let machine = &mut state.machines[me];
+        machine.process_id += 1;
+        let seeds = (0..self.voters).map(store_name).collect();
+        let config = StoreConfig {
+            name: store_name(me),
+            process_id: machine.process_id,
             tolerated_losses: 1,
-            first_start: first,
+            first_start,
             seeds,
         };
         let mut out = Vec::new();
-        let store = Store::new(birth, machine.disk.clone(), &mut out);
+        let store = Store::new(config, machine.disk.clone(), &mut out);
         *machine = Machine {
             disk: machine.disk.take(),
             store: Some(store),
-            life: machine.life,
-            begun: now,
-            ticked: now,
-            awake: now,
+            process_id: machine.process_id,
+            started_at: now,
+            last_tick: now,
+            awake_since: now,
             ..Machine::default()
         };
-        self.carry_out(world, me, out);
+        self.apply_effects(state, me, out);
     }
 
-    pub fn end(&self, world: &mut World, me: usize) {
-        world.machines[me].store = None;
-        world.machines[me].frozen = false;
-        world.open.retain(|(call, _)| self.calls[*call].0 != me);
+    /// Ends the process on a machine. The disk stays; calls made there stay without a reply.
+    pub fn stop(&self, state: &mut SystemState, me: usize) {
+        state.machines[me].store = None;
+        state.machines[me].stalled = false;
+        state.open_calls.retain(|(call, _)| self.calls[*call].0 != me);
     }
 
-    pub fn call(&self, world: &mut World, n: usize) {
-        world.open.push((n, world.known));
+    /// Makes call `n` of the scope.
+    pub fn call(&self, state: &mut SystemState, n: usize) {
+        state.open_calls.push((n, state.observed));
         let (me, request) = &self.calls[n];
-        self.give(world, *me, Input::Request { id: n as u64, request: request.clone() });
+        self.apply_input(state, *me, Input::Request { id: n as u64, request: request.clone() });
     }
 
-    pub fn pass(&self, world: &mut World) {
-        for _ in 0..TICKS_OF_A_ROUND {
-            world.now += TICK;
-            for me in 0..self.cores {
-                if world.machines[me].store.is_some() && !world.machines[me].frozen {
-                    self.tick(world, me);
+    /// Runs a round of half a second: twice, each running store ticks and all messages are delivered.
+    pub fn run_round(&self, state: &mut SystemState) {
+        for _ in 0..TICKS_PER_ROUND {
+            state.now += TICK;
+            for me in 0..self.machine_count {
+                if state.machines[me].store.is_some() && !state.machines[me].stalled {
+                    self.tick(state, me);
                 }
             }
-            self.deliver(world);
+            self.deliver_all(state);
         }
-        world.loses = None;
-        world.round += 1;
+        state.lost_kind = None;
+        state.round += 1;
     }
 
-    fn tick(&self, world: &mut World, me: usize) {
-        let now = world.now;
-        if now > world.machines[me].ticked + STOOD_STILL {
-            world.machines[me].awake = now;
+    /// Gives a tick to a store, and records which machines it has had no heartbeat of for [`FAILURE_TIMEOUT`] while it was
+    /// awake.
+    fn tick(&self, state: &mut SystemState, me: usize) {
+        let now = state.now;
+        if now > state.machines[me].last_tick + STALL {
+            state.machines[me].awake_since = now;
         }
-        if self.defect == Some(Defect::JudgesAfterStandstill) {
-            // As if it had ticked all the time and heard nothing.
-            while world.machines[me].ticked + TICK < now {
-                world.now = world.machines[me].ticked + TICK;
-                world.machines[me].ticked = world.now;
-                self.give(world, me, Input::Tick);
+        if self.defect == Some(Defect::IgnoresOwnStall) {
+            // The store gets the ticks that it missed while it was stalled, as if it had been awake and received nothing.
+            while state.machines[me].last_tick + TICK < now {
+                state.now = state.machines[me].last_tick + TICK;
+                state.machines[me].last_tick = state.now;
+                self.apply_input(state, me, Input::Tick);
             }
-            world.now = now;
+            state.now = now;
         }
-        let cores = self.cores;
-        let machine = &mut world.machines[me];
-        machine.ticked = now;
-        for other in (0..cores).filter(|other| *other != me) {
-            let last = machine.heard.get(&other).copied().unwrap_or(0).max(machine.awake);
-            if now >= last + GONE {
-                machine.silent.insert(other, now);
+        let machine_count = self.machine_count;
+        let machine = &mut state.machines[me];
+        machine.last_tick = now;
+        for other in (0..machine_count).filter(|other| *other != me) {
+            let last = machine.last_heartbeat.get(&other).copied().unwrap_or(0).max(machine.awake_since);
+            if now >= last + FAILURE_TIMEOUT {
+                machine.last_silent.insert(other, now);
             }
         }
-        self.give(world, me, Input::Tick);
+        self.apply_input(state, me, Input::Tick);
     }
 
-    /// All that is on the way is heard, and what comes of it; who stands still hears it later.
-    fn deliver(&self, world: &mut World) {
+    /// Delivers the messages in flight, and those that are sent in response. A stalled process gets its messages later.
+    fn deliver_all(&self, state: &mut SystemState) {
         let mut later = Vec::new();
-        while let Some(said) = world.wire.pop_front() {
-            let lost =
-                world.loses.is_some_and(|kind| kind.is(&said.word)) || !world.linked(said.from, said.to);
-            if lost || world.machines[said.to].store.is_none() {
+        while let Some(envelope) = state.network.pop_front() {
+            let lost = state.lost_kind.is_some_and(|kind| kind.includes(&envelope.message))
+                || !state.linked(envelope.from, envelope.to);
+            if lost || state.machines[envelope.to].store.is_none() {
                 continue;
             }
-            if world.machines[said.to].frozen {
-                later.push(said);
+            if state.machines[envelope.to].stalled {
+                later.push(envelope);
                 continue;
             }
-            self.hear(world, said);
+            self.deliver_one(state, envelope);
         }
-        world.wire.extend(later);
+        state.network.extend(later);
     }
 
-    fn hear(&self, world: &mut World, Said { from, to, word }: Said) {
-        if let Message::Heartbeat { .. } = word {
-            let now = world.now;
-            world.machines[to].heard.insert(from, now);
+    fn deliver_one(&self, state: &mut SystemState, Envelope { from, to, message }: Envelope) {
+        if let Message::Heartbeat { .. } = message {
+            let now = state.now;
+            state.machines[to].last_heartbeat.insert(from, now);
         }
-        let word = match self.defect {
-            Some(Defect::LeavesOutPace) => without_before(word),
-            _ => word,
+        let message = match self.defect {
+            Some(Defect::IgnoresChangeInterval) => without_previous_names(message),
+            _ => message,
         };
-        self.give(world, to, Input::Message { from: name(from), message: word });
+        self.apply_input(state, to, Input::Message { from: store_name(from), message });
     }
 
-    fn give(&self, world: &mut World, me: usize, input: Input) {
-        let now = world.now;
-        let machine = &mut world.machines[me];
-        let begun = machine.begun;
+    fn apply_input(&self, state: &mut SystemState, me: usize, input: Input) {
+        let now = state.now;
+        let machine = &mut state.machines[me];
+        let started_at = machine.started_at;
         let Some(store) = machine.store.as_mut() else { return };
         let mut out = Vec::new();
-        store.step(now - begun, input, &mut out);
+        store.step(now - started_at, input, &mut out);
         let membership = store.membership().clone();
-        self.learn(world, membership);
-        self.carry_out(world, me, out);
+        self.record_membership(state, membership);
+        self.apply_effects(state, me, out);
     }
 
-    fn learn(&self, world: &mut World, membership: Membership) {
+    /// Records the membership that a store knows. Checks that its epoch has no other members, that changes of names keep
+    /// their interval, and that it names the previous voters.
+    fn record_membership(&self, state: &mut SystemState, membership: Membership) {
         if membership.epoch == 0 {
             return;
         }
-        if let Some(known) = world.epochs.get(&membership.epoch) {
-            if known.membership.members != membership.members {
-                world.wrong = Some(EPOCH);
+        if let Some(recorded) = state.epochs.get(&membership.epoch) {
+            if recorded.membership.members != membership.members {
+                state.violation = Some(ONE_MEMBERSHIP);
             }
             return;
         }
-        let last = world.newest();
-        let recent = world.renamed.is_some_and(|at| world.now < at + MEMBERSHIP_CHANGE_INTERVAL);
-        let renames = last.names() != membership.names();
-        let before = if renames { last.names() } else { last.previous.clone() };
-        if (renames || recent) && membership.previous != before {
-            world.wrong = Some(BEFORE);
+        let last = state.newest_membership();
+        let is_recent = state.names_changed_at.is_some_and(|at| state.now < at + MEMBERSHIP_CHANGE_INTERVAL);
+        let changes_names = last.names() != membership.names();
+        let previous_names = if changes_names { last.names() } else { last.previous.clone() };
+        if (changes_names || is_recent) && membership.previous != previous_names {
+            state.violation = Some(PREVIOUS_NAMES);
         }
-        if renames {
-            if recent {
-                world.wrong = Some(PACED);
+        if changes_names {
+            if is_recent {
+                state.violation = Some(CHANGE_INTERVAL);
             }
-            world.renamed = Some(world.now);
-            world.renames += 1;
+            state.names_changed_at = Some(state.now);
+            state.name_changes += 1;
         }
-        world.epochs.insert(membership.epoch, Epoch { membership, since: world.now });
+        state.epochs.insert(membership.epoch, Epoch { membership, since: state.now });
     }
 
-    fn carry_out(&self, world: &mut World, me: usize, out: Vec<Output>) {
+    fn apply_effects(&self, state: &mut SystemState, me: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Send { to, message: word } => self.say(world, me, &to, word),
-                Output::Write { id: token, change } => {
-                    self.write(world, me, &change);
-                    self.give(world, me, Input::WriteCompleted { id: token, succeeded: true });
+                Output::Send { to, message } => self.send(state, me, &to, message),
+                Output::Write { id: write_id, change } => {
+                    self.write(state, me, &change);
+                    self.apply_input(state, me, Input::WriteCompleted { id: write_id, succeeded: true });
                 }
-                Output::Reply { id, reply } => self.answered(world, id as usize, reply),
+                Output::Reply { id, reply } => self.record_reply(state, id as usize, reply),
                 Output::Committed(_) => {}
             }
         }
     }
 
-    fn write(&self, world: &mut World, me: usize, change: &StateChange) {
-        let disk = world.machines[me].disk.get_or_insert_default();
-        disk.apply(&written(self.defect, disk.incarnation, change));
+    /// Makes a change durable, as altered by the seeded defect, and records an accepted batch.
+    fn write(&self, state: &mut SystemState, me: usize, change: &StateChange) {
+        let disk = state.machines[me].disk.get_or_insert_default();
+        disk.apply(&persisted_change(self.defect, disk.incarnation, change));
         if let (Some((ballot, Some(_))), Some(incarnation)) = (&change.accepted, disk.incarnation) {
-            let member = Member { name: name(me), incarnation };
-            world.kept.entry(*ballot).or_default().insert(member);
+            let member = Member { name: store_name(me), incarnation };
+            state.accepted_by.entry(*ballot).or_default().insert(member);
         }
     }
 
-    fn say(&self, world: &mut World, from: usize, to: &str, word: Message) {
-        match &word {
-            Message::Heartbeat { sent_at: sent, .. } => {
-                let acknowledged = world.acknowledged;
-                let told = &mut world.machines[from].told;
-                if told.back().is_none_or(|(at, _)| at != sent) {
-                    told.push_back((*sent, acknowledged));
-                    if told.len() > TOLD {
-                        told.pop_front();
+    /// Puts a message in flight, and checks proposals of a membership and commits.
+    fn send(&self, state: &mut SystemState, from: usize, to: &str, message: Message) {
+        match &message {
+            Message::Heartbeat { sent_at, .. } => {
+                let acknowledged = state.acknowledged;
+                let heartbeats_sent = &mut state.machines[from].heartbeats_sent;
+                if heartbeats_sent.back().is_none_or(|(at, _)| at != sent_at) {
+                    heartbeats_sent.push_back((*sent_at, acknowledged));
+                    if heartbeats_sent.len() > HEARTBEATS_KEPT {
+                        heartbeats_sent.pop_front();
                     }
                 }
             }
             Message::Accept { batch: Batch { membership: Some(next), .. }, .. } => {
-                self.proposes(world, from, next)
+                self.check_proposal(state, from, next)
             }
-            Message::Commit { ballot, membership, batch } if world.agreed.insert(*ballot) => {
-                let kept = world.kept.get(ballot).cloned().unwrap_or_default();
-                let enough = |of: &Membership| {
-                    of.members.iter().filter(|m| kept.contains(m)).count() >= quorum(of.members.len())
+            Message::Commit { ballot, membership, batch } if state.committed_ballots.insert(*ballot) => {
+                let accepted_by = state.accepted_by.get(ballot).cloned().unwrap_or_default();
+                let has_quorum = |of: &Membership| {
+                    of.members.iter().filter(|m| accepted_by.contains(m)).count()
+                        >= quorum_size(of.members.len())
                 };
-                if !enough(membership) || !batch.membership.as_ref().is_none_or(enough) {
-                    world.wrong = Some(VOTES);
+                if !has_quorum(membership) || !batch.membership.as_ref().is_none_or(has_quorum) {
+                    state.violation = Some(COMMIT_QUORUM);
                 }
             }
             _ => {}
         }
-        let Some(to) = (0..self.cores).find(|n| name(*n) == to) else { return };
-        if let Some(said) = self.taken_for_another(world, from, to, &word) {
-            world.wire.push_back(said);
+        let Some(to) = (0..self.machine_count).find(|n| store_name(*n) == to) else { return };
+        if let Some(envelope) = self.misattributed(state, from, to, &message) {
+            state.network.push_back(envelope);
         }
-        world.wire.push_back(Said { from, to, word });
+        state.network.push_back(Envelope { from, to, message });
     }
 
-    /// Who proposes that a member gives way to another has heard nothing of it, while it was awake itself.
-    fn proposes(&self, world: &mut World, me: usize, next: &Membership) {
-        if !world.proposed.insert((next.epoch, next.members.clone())) {
+    /// Checks a proposed membership: each member that it leaves out was found silent, not long ago, by the awake proposer.
+    fn check_proposal(&self, state: &mut SystemState, me: usize, next: &Membership) {
+        if !state.proposed.insert((next.epoch, next.members.clone())) {
             return;
         }
-        let Some(store) = &world.machines[me].store else { return };
-        let leaves = |of: &Member| !next.names().contains(&of.name);
-        for member in store.membership().members.iter().filter(|of| leaves(of)) {
-            let other = (0..self.cores).find(|n| name(*n) == member.name).expect("a machine");
-            let silent = world.machines[me].silent.get(&other);
-            if silent.is_none_or(|at| world.now > at + TURN) {
-                world.wrong = Some(SILENT);
+        let Some(store) = &state.machines[me].store else { return };
+        let is_left_out = |member: &Member| !next.names().contains(&member.name);
+        for member in store.membership().members.iter().filter(|member| is_left_out(member)) {
+            let other = (0..self.machine_count)
+                .find(|n| store_name(*n) == member.name)
+                .expect("the name of a machine");
+            let last_silent = state.machines[me].last_silent.get(&other);
+            if last_silent.is_none_or(|at| state.now > at + PROPOSAL_TIME) {
+                state.violation = Some(REPLACED_AFTER_SILENCE);
             }
         }
     }
 
-    /// For [`Defect::CountsReplaced`]: what is said to the member in its place the replaced one hears as well, and its
-    /// answer is taken for that member's.
-    fn taken_for_another(&self, world: &World, from: usize, to: usize, word: &Message) -> Option<Said> {
-        if self.defect != Some(Defect::CountsReplaced) {
+    /// For [`Defect::CountsVoteOfReplaced`]: the replaced store also gets what is sent to the member in its place, and its
+    /// votes are sent once more as if by that member.
+    fn misattributed(
+        &self,
+        state: &SystemState,
+        from: usize,
+        to: usize,
+        message: &Message,
+    ) -> Option<Envelope> {
+        if self.defect != Some(Defect::CountsVoteOfReplaced) {
             return None;
         }
-        let (replaced, by) = (2, 3);
-        let is_member = |me: usize| world.newest().names().contains(&name(me));
-        if is_member(replaced) || !is_member(by) {
+        let (replaced, replacement) = (2, 3);
+        let is_member = |me: usize| state.newest_membership().names().contains(&store_name(me));
+        if is_member(replaced) || !is_member(replacement) {
             return None;
         }
-        match word {
-            Message::Prepare { .. } | Message::Accept { .. } if to == by => {
-                Some(Said { from, to: replaced, word: word.clone() })
+        match message {
+            Message::Prepare { .. } | Message::Accept { .. } if to == replacement => {
+                Some(Envelope { from, to: replaced, message: message.clone() })
             }
             Message::Promise { .. } | Message::Accepted { .. } if from == replaced => {
-                let incarnation = world.newest().members.iter().find(|m| m.name == name(by))?.incarnation;
-                let mut word = word.clone();
-                if let Message::Promise { incarnation: of, .. } | Message::Accepted { incarnation: of, .. } =
-                    &mut word
+                let incarnation = state
+                    .newest_membership()
+                    .members
+                    .iter()
+                    .find(|m| m.name == store_name(replacement))?
+                    .incarnation;
+                let mut message = message.clone();
+                if let Message::Promise { incarnation: claimed, .. }
+                | Message::Accepted { incarnation: claimed, .. } = &mut message
                 {
-                    *of = incarnation;
+                    *claimed = incarnation;
                 }
-                Some(Said { from: by, to, word })
+                Some(Envelope { from: replacement, to, message })
             }
             _ => None,
         }
     }
 
-    fn answered(&self, world: &mut World, id: usize, reply: Reply) {
-        let Some(at) = world.open.iter().position(|(call, _)| *call == id) else {
-            world.wrong = Some(ONCE);
+    /// Records the reply to a call, and checks that the call had none before and that a read is fresh.
+    fn record_reply(&self, state: &mut SystemState, id: usize, reply: Reply) {
+        let Some(at) = state.open_calls.iter().position(|(call, _)| *call == id) else {
+            state.violation = Some(ONE_REPLY);
             return;
         };
-        let (_, floor) = world.open.remove(at);
+        let (_, required) = state.open_calls.remove(at);
         match reply {
             Reply::Acknowledged => {
-                world.acknowledged |= 1 << id;
-                world.known |= 1 << id;
-                world.taken_since |= world.renames > 0;
+                state.acknowledged |= 1 << id;
+                state.observed |= 1 << id;
+                state.acknowledged_after_replacement |= state.name_changes > 0;
             }
-            Reply::Rejected(_) => world.refused |= 1 << id,
+            Reply::Rejected(_) => state.rejected |= 1 << id,
             Reply::Unknown => {}
             Reply::Text(text) => {
-                let shown = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes())
-                    .expect("what stands");
-                if !self.items(floor).all(|item| holds(&shown, item)) {
-                    world.wrong = Some(READ);
+                let returned = operator_call::parse_update(format!("{{\"upsert\":{text}}}").as_bytes())
+                    .expect("a rendered configuration parses");
+                if !self.items(required).all(|item| holds_item(&returned, item)) {
+                    state.violation = Some(FRESH_READ);
                 }
                 for (n, (_, request)) in self.calls.iter().enumerate() {
                     let Request::Update(items) = request else { continue };
-                    if items.iter().all(|item| shown.contains(item)) {
-                        world.known |= 1 << n;
+                    if items.iter().all(|item| returned.contains(item)) {
+                        state.observed |= 1 << n;
                     }
                 }
             }
         }
     }
 
-    pub fn items(&self, set: crate::state::Calls) -> impl Iterator<Item = &Item> {
-        let called = self.calls.iter().enumerate().filter(move |(n, _)| set & (1 << n) != 0);
-        called.flat_map(|(_, (_, request))| match request {
+    /// The items of the updates in a set of calls.
+    pub fn items(&self, set: crate::state::CallSet) -> impl Iterator<Item = &Item> {
+        let in_set = self.calls.iter().enumerate().filter(move |(n, _)| set & (1 << n) != 0);
+        in_set.flat_map(|(_, (_, request))| match request {
             Request::Update(items) => items.as_slice(),
             _ => &[],
         })
     }
 }
 
-/// A word whose membership does not say who voted before it.
-fn without_before(mut word: Message) -> Message {
-    match &mut word {
+/// The message, with memberships that do not name the voters before them.
+fn without_previous_names(mut message: Message) -> Message {
+    match &mut message {
         Message::Prepare { membership, .. } | Message::NewMembership(membership) => {
             membership.previous.clear()
         }
@@ -356,23 +387,23 @@
         }
         _ => {}
     }
-    word
+    message
 }
 
-/// What of a change gets to the disk.
-fn written(defect: Option<Defect>, incarnation: Option<u64>, change: &StateChange) -> StateChange {
-    let mut written = change.clone();
+/// The part of a change that becomes durable under the seeded defect.
+fn persisted_change(defect: Option<Defect>, incarnation: Option<u64>, change: &StateChange) -> StateChange {
+    let mut persisted = change.clone();
     match defect {
-        Some(Defect::ForgetsChange) if incarnation.is_some() => {
-            written.membership = None;
-            if let Some((_, Some(batch))) = &mut written.accepted {
+        Some(Defect::ForgetsMembershipChange) if incarnation.is_some() => {
+            persisted.membership = None;
+            if let Some((_, Some(batch))) = &mut persisted.accepted {
                 batch.membership = None;
             }
         }
-        Some(Defect::ForgetsBefore) => {
-            written.membership.iter_mut().for_each(|membership| membership.previous.clear());
+        Some(Defect::ForgetsPreviousMembers) => {
+            persisted.membership.iter_mut().for_each(|membership| membership.previous.clear());
         }
         _ => {}
     }
-    written
+    persisted
 }
--- a/crates/consensus/tests/model/replacement/mod.rs
+++ b/crates/consensus/tests/model/replacement/mod.rs
@@ -1,7 +1,8 @@
-//! Members that fall silent and are replaced by a spare store, at the pace of such changes: every timing of a few faults
-//! and calls, by rounds of half a second.
+//! Model check of the replacement of silent members by spare stores, and of the interval between such changes: explores
+//! every timing of a few faults and calls, in rounds of half a second.
 //!
-//! A store's silence lasts for seconds, so the words of a round are heard in one order; [`crate::searches`] has all orders.
+//! A member is replaced after seconds of silence, so the messages of a round are delivered in one order only;
+//! [`crate::searches`] explores all orders.
 
 mod execution;
 mod properties;
@@ -11,56 +12,60 @@
 
 use std::time::Instant;
 
-use crate::{explore, Found};
-use properties::is_wrong;
+use crate::{explore, Discovery};
+use properties::is_violation;
 use scopes::{defects, searches, Scope};
 
-/// What was found, and how many states were seen.
-fn search(scope: Scope) -> (Vec<Found<state::Step>>, usize) {
+/// Searches a scope. Returns the discoveries and the number of unique states.
+fn search(scope: Scope) -> (Vec<Discovery<state::Step>>, usize) {
     let (found, states, _) = explore(scope, scopes::DEPTH);
     (found, states)
 }
 
-fn asked_for(name: &str) -> bool {
+/// Whether `DANCE_ONLY` selects this scope or defect.
+fn is_selected(name: &str) -> bool {
     name.contains(&std::env::var("DANCE_ONLY").unwrap_or_default())
 }
 
 #[test]
-fn no_replacement_breaks_anything() {
+fn replacement_searches_find_no_violation() {
     let long = std::env::var("DANCE_SCOPE").is_ok_and(|scope| scope == "long");
-    let mut broken = Vec::new();
-    for scope in searches(long).into_iter().filter(|scope| asked_for(scope.name)) {
-        let (name, meets) = (scope.name, scope.meets.clone());
-        let begun = Instant::now();
+    let mut violations = Vec::new();
+    for scope in searches(long).into_iter().filter(|scope| is_selected(scope.name)) {
+        let (name, reaches) = (scope.name, scope.reaches.clone());
+        let started_at = Instant::now();
         let (found, states) = search(scope);
-        println!("{name}: {states} states in {:?}", begun.elapsed());
-        for (what, steps) in found.iter().filter(|(what, _)| is_wrong(what)) {
-            println!("    {what}: {} steps {steps:?}", steps.len());
-            broken.push((name, *what));
+        println!("{name}: {states} states in {:?}", started_at.elapsed());
+        for (property, steps) in found.iter().filter(|(property, _)| is_violation(property)) {
+            println!("    {property}: {} steps {steps:?}", steps.len());
+            violations.push((name, *property));
         }
-        for what in meets {
-            assert!(found.iter().any(|(met, _)| *met == what), "{name}: {what} is not met");
+        for property in reaches {
+            assert!(
+                found.iter().any(|(discovered, _)| *discovered == property),
+                "{name}: {property:?} is not reached"
+            );
         }
     }
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(violations.is_empty(), "violations: {violations:?}");
 }
 
 #[test]
-fn each_defect_of_replacement_is_found() {
+fn each_replacement_defect_is_found() {
     let mut missed = Vec::new();
-    for (defect, scope, breaks) in defects() {
-        if !asked_for(&format!("{defect:?}")) {
+    for (defect, scope, expected) in defects() {
+        if !is_selected(&format!("{defect:?}")) {
             continue;
         }
-        let begun = Instant::now();
-        let (found, states) = search(Scope { defect: Some(defect), meets: Vec::new(), ..scope });
-        println!("{defect:?}: {states} states in {:?}", begun.elapsed());
-        for (what, steps) in found.iter().filter(|(what, _)| is_wrong(what)) {
-            println!("    {what}: {} steps", steps.len());
+        let started_at = Instant::now();
+        let (found, states) = search(Scope { defect: Some(defect), reaches: Vec::new(), ..scope });
+        println!("{defect:?}: {states} states in {:?}", started_at.elapsed());
+        for (property, steps) in found.iter().filter(|(property, _)| is_violation(property)) {
+            println!("    {property}: {} steps", steps.len());
         }
-        if !found.iter().any(|(what, _)| breaks.contains(what)) {
+        if !found.iter().any(|(property, _)| expected.contains(property)) {
             missed.push(defect);
         }
     }
-    assert!(missed.is_empty(), "{missed:?}");
+    assert!(missed.is_empty(), "defects without a violation: {missed:?}");
 }
--- a/crates/consensus/tests/model/replacement/scopes.rs
+++ b/crates/consensus/tests/model/replacement/scopes.rs
@@ -1,15 +1,18 @@
-//! What is played: events, each within a span of rounds, and what is tampered with.
+//! The scopes of the searches: events, each with a range of rounds in which it may happen, and the seeded defects.
 
 use pinerelay_consensus::Request;
 
-use super::properties::{AFTER, AGAIN, BACK, BEFORE, MEET, PACED, REPLACED, SILENT, TWICE, VOTES};
-use super::state::{Kind, Step};
+use super::properties::{
+    ACKNOWLEDGED_AFTER_REPLACEMENT, CHANGE_INTERVAL, COMMIT_QUORUM, PAST_EPOCHS_AWARE, PREVIOUS_NAMES,
+    REPLACED, REPLACED_AFTER_SILENCE, REPLACED_RETURNS, REPLACED_TWICE, REPLACED_VOTES_AGAIN,
+};
+use super::state::{MessageKind, Step};
 use crate::searches::tenant;
 
-/// No search comes so deep: the rounds and events of a scope end it.
+/// Depth limit that no search reaches: the rounds and events of a scope end it before.
 pub const DEPTH: usize = 100;
 
-/// One of some steps, in a round from `from` on and before `until`, or never.
+/// One of the steps `any` happens, in a round from `from` on and before `until`, or none does.
 #[derive(Debug, Clone)]
 pub struct Event {
     pub from: u32,
@@ -17,40 +20,40 @@
     pub any: Vec<Step>,
 }
 
-/// What a store is made to do wrong, by what it is given and what is taken from it.
+/// A seeded defect. The store itself is unmodified: the model alters its inputs, messages or disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// Who hears of a change does not wait with the next one.
-    LeavesOutPace,
-    /// A replaced member's vote is taken for that of the one in its place.
-    CountsReplaced,
-    /// A process that has stood still judges as if it had been awake.
-    JudgesAfterStandstill,
-    /// Disks do not keep a change of the membership.
-    ForgetsChange,
-    /// Disks do not keep who voted before the last change.
-    ForgetsBefore,
+    /// A store that learns of a membership change does not wait before the next one.
+    IgnoresChangeInterval,
+    /// The vote of a replaced store counts as the vote of the member in its place.
+    CountsVoteOfReplaced,
+    /// A process that was stalled judges the silence of others as if it had been awake.
+    IgnoresOwnStall,
+    /// Membership changes after the first write are not written to disk.
+    ForgetsMembershipChange,
+    /// The names of the voters before the last change are not written to disk.
+    ForgetsPreviousMembers,
 }
 
-/// What is played.
+/// A bounded model: machines, calls, events and seeded defect.
 #[derive(Debug, Clone)]
 pub struct Scope {
     pub name: &'static str,
-    pub cores: usize,
-    /// The first of them vote from the beginning; the others are spares.
+    pub machine_count: usize,
+    /// Number of machines that vote from the beginning, the first ones; the others are spares.
     pub voters: usize,
-    /// At which machine, and what. The first is acknowledged before the search begins.
+    /// Each call: the index of its machine, and the request. The first is acknowledged before the search begins.
     pub calls: Vec<(usize, Request)>,
     /// Links that are cut from the beginning.
-    pub cuts: Vec<(usize, usize)>,
+    pub cut_links: Vec<(usize, usize)>,
     /// Rounds before the search begins.
-    pub settled: u32,
-    /// Rounds of half a second that are searched.
+    pub warmup_rounds: u32,
+    /// Rounds of half a second that the search covers.
     pub rounds: u32,
-    /// The events of a thread happen in their order.
-    pub threads: Vec<Vec<Event>>,
-    /// What it has to meet.
-    pub meets: Vec<&'static str>,
+    /// Independent sequences of events; the events of one sequence happen in their order.
+    pub timelines: Vec<Vec<Event>>,
+    /// The `sometimes` properties that the search has to reach.
+    pub reaches: Vec<&'static str>,
     pub defect: Option<Defect>,
 }
 
@@ -60,253 +63,267 @@
 const D: usize = 3;
 const E: usize = 4;
 
-fn at(from: u32, until: u32, any: &[Step]) -> Event {
+fn event(from: u32, until: u32, any: &[Step]) -> Event {
     Event { from, until, any: any.to_vec() }
 }
 
-fn scope(name: &'static str, cores: usize, rounds: u32, threads: Vec<Vec<Event>>) -> Scope {
-    let order = |name: &str| tenant(name, 1, name);
+fn scope(name: &'static str, machine_count: usize, rounds: u32, timelines: Vec<Vec<Event>>) -> Scope {
+    let update = |name: &str| tenant(name, 1, name);
     let calls = vec![
-        (A, order("t0")),
-        (A, order("t1")),
-        (B, order("t2")),
-        (C, order("t3")),
+        (A, update("t0")),
+        (A, update("t1")),
+        (B, update("t2")),
+        (C, update("t3")),
         (C, Request::Read),
         (D, Request::Read),
         (A, Request::Read),
-        (D, order("t4")),
+        (D, update("t4")),
     ];
     Scope {
         name,
-        cores,
+        machine_count,
         voters: 3,
         calls,
-        cuts: Vec::new(),
-        settled: 5,
+        cut_links: Vec::new(),
+        warmup_rounds: 5,
         rounds,
-        threads,
-        meets: vec![REPLACED, AFTER],
+        timelines,
+        reaches: vec![REPLACED, ACKNOWLEDGED_AFTER_REPLACEMENT],
         defect: None,
     }
 }
 
-/// Words that are lost in a round in which a change may be agreed on.
-fn losing(from: u32, until: u32) -> Vec<Event> {
-    use Kind::*;
-    vec![at(from, until, &[Put, Kept, Settle, Members].map(Step::Lose))]
+/// The messages of one kind are lost in a round in which a membership change may be committed.
+fn lose_messages(from: u32, until: u32) -> Vec<Event> {
+    use MessageKind::*;
+    vec![event(from, until, &[Accept, Accepted, Commit, NewMembership].map(Step::Lose))]
 }
 
-fn order(n: usize, from: u32, until: u32) -> Vec<Event> {
-    vec![at(from, until, &[Step::Call(n)])]
+/// Call `n` is made in one of these rounds, or never.
+fn call(n: usize, from: u32, until: u32) -> Vec<Event> {
+    vec![event(from, until, &[Step::Call(n)])]
 }
 
-/// The searches, each of which is to break nothing. In `long` ones events have more time.
+/// The searches, none of which may find a violation. With `long` events have extra_rounds rounds in which they may happen.
 pub fn searches(long: bool) -> Vec<Scope> {
-    let more = if long { 3 } else { 0 };
+    let extra_rounds = if long { 3 } else { 0 };
     vec![
-        back_with_its_disk(more),
-        back_without_its_disk(more),
-        two_fall_silent(more),
-        unlinked_spares(more),
-        cut_off_from_one(more),
-        stands_still(more),
-        stands_still_and_hears_one_less(more),
-        only_the_replaced_one_is_left(more),
-        a_lost_disk_at_the_pace(more),
-        the_proposer_starts_again(more),
-        a_lost_disk_and_a_start(more),
-        cut_off_from_all(more),
+        silent_member_returns_with_disk(extra_rounds),
+        silent_member_returns_without_disk(extra_rounds),
+        two_members_fall_silent(extra_rounds),
+        unlinked_spares(extra_rounds),
+        voters_without_a_link(extra_rounds),
+        process_stalls(extra_rounds),
+        process_stalls_and_another_falls_silent(extra_rounds),
+        one_member_and_a_replaced_store_left(extra_rounds),
+        disk_lost_within_change_interval(extra_rounds),
+        proposer_restarts(extra_rounds),
+        disk_lost_and_proposer_restarts(extra_rounds),
+        isolated_member(extra_rounds),
     ]
 }
 
-fn back_with_its_disk(more: u32) -> Scope {
-    let silent = vec![at(0, 1, &[Step::End(C)]), at(2, 9 + more, &[Step::Start(C)])];
-    let calls = vec![at(5, 10 + more, &[Step::Call(3), Step::Call(4)])];
+fn silent_member_returns_with_disk(extra_rounds: u32) -> Scope {
+    let silent = vec![event(0, 1, &[Step::Stop(C)]), event(2, 9 + extra_rounds, &[Step::Start(C)])];
+    let calls = vec![event(5, 10 + extra_rounds, &[Step::Call(3), Step::Call(4)])];
     Scope {
-        meets: vec![REPLACED, BACK, AFTER],
+        reaches: vec![REPLACED, REPLACED_RETURNS, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "a silent one comes back with its disk",
+            "a silent member comes back with its disk",
             4,
-            12 + more,
-            vec![silent, order(2, 3, 10 + more), calls, losing(4, 8 + more)],
+            12 + extra_rounds,
+            vec![silent, call(2, 3, 10 + extra_rounds), calls, lose_messages(4, 8 + extra_rounds)],
         )
     }
 }
 
-fn back_without_its_disk(more: u32) -> Scope {
+fn silent_member_returns_without_disk(extra_rounds: u32) -> Scope {
     let silent = vec![
-        at(0, 1, &[Step::End(C)]),
-        at(2, 9 + more, &[Step::StartEmpty(C)]),
-        at(9, 11 + more, &[Step::End(B)]),
+        event(0, 1, &[Step::Stop(C)]),
+        event(2, 9 + extra_rounds, &[Step::StartEmpty(C)]),
+        event(9, 11 + extra_rounds, &[Step::Stop(B)]),
     ];
     Scope {
-        meets: vec![REPLACED, TWICE, AGAIN, AFTER],
+        reaches: vec![REPLACED, REPLACED_TWICE, REPLACED_VOTES_AGAIN, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "a silent one comes back without its disk, then another falls silent",
+            "a silent member comes back without its disk, then another falls silent",
             4,
-            26 + more,
-            vec![silent, order(2, 3, 8 + more), order(1, 14, 20 + more)],
+            26 + extra_rounds,
+            vec![silent, call(2, 3, 8 + extra_rounds), call(1, 14, 20 + extra_rounds)],
         )
     }
 }
 
-fn two_fall_silent(more: u32) -> Scope {
-    let second = vec![at(5, 10 + more, &[Step::End(A), Step::End(B)])];
-    let first = vec![at(0, 1, &[Step::End(C)]), at(7, 12 + more, &[Step::Start(C), Step::StartEmpty(C)])];
+fn two_members_fall_silent(extra_rounds: u32) -> Scope {
+    let second = vec![event(5, 10 + extra_rounds, &[Step::Stop(A), Step::Stop(B)])];
+    let first = vec![
+        event(0, 1, &[Step::Stop(C)]),
+        event(7, 12 + extra_rounds, &[Step::Start(C), Step::StartEmpty(C)]),
+    ];
     Scope {
-        meets: vec![REPLACED, TWICE, BACK],
+        reaches: vec![REPLACED, REPLACED_TWICE, REPLACED_RETURNS],
         ..scope(
-            "two fall silent one after the other, two spares",
+            "two members fall silent one after the other, two spares",
             5,
-            26 + more,
-            vec![first, second, order(7, 6, 14 + more)],
+            26 + extra_rounds,
+            vec![first, second, call(7, 6, 14 + extra_rounds)],
         )
     }
 }
 
-fn unlinked_spares(more: u32) -> Scope {
-    let first = vec![at(0, 1, &[Step::End(C)]), at(4, 9 + more, &[Step::Start(C)])];
-    let second = vec![at(7, 11 + more, &[Step::End(A), Step::End(B)])];
+fn unlinked_spares(extra_rounds: u32) -> Scope {
+    let first = vec![event(0, 1, &[Step::Stop(C)]), event(4, 9 + extra_rounds, &[Step::Start(C)])];
+    let second = vec![event(7, 11 + extra_rounds, &[Step::Stop(A), Step::Stop(B)])];
     Scope {
-        cuts: vec![(D, E)],
-        meets: vec![REPLACED, TWICE, AFTER],
+        cut_links: vec![(D, E)],
+        reaches: vec![REPLACED, REPLACED_TWICE, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "two spares that are not linked to each other",
+            "two spares without a link to each other",
             5,
-            24 + more,
-            vec![first, second, order(7, 6, 10 + more)],
+            24 + extra_rounds,
+            vec![first, second, call(7, 6, 10 + extra_rounds)],
         )
     }
 }
 
-fn cut_off_from_one(more: u32) -> Scope {
-    let link = vec![at(0, 1, &[Step::Cut(A, C)]), at(5, 12 + more, &[Step::Join(A, C)])];
-    let calls = vec![at(3, 10 + more, &[Step::Call(2), Step::Call(3)])];
+fn voters_without_a_link(extra_rounds: u32) -> Scope {
+    let link =
+        vec![event(0, 1, &[Step::CutLink(A, C)]), event(5, 12 + extra_rounds, &[Step::RestoreLink(A, C)])];
+    let calls = vec![event(3, 10 + extra_rounds, &[Step::Call(2), Step::Call(3)])];
     Scope {
-        meets: vec![REPLACED, BACK, AFTER],
+        reaches: vec![REPLACED, REPLACED_RETURNS, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "two that vote do not hear each other",
+            "two voters without a link to each other",
             4,
-            14 + more,
-            vec![link, calls, order(4, 4, 12 + more), losing(4, 8 + more)],
+            14 + extra_rounds,
+            vec![link, calls, call(4, 4, 12 + extra_rounds), lose_messages(4, 8 + extra_rounds)],
         )
     }
 }
 
-fn stands_still(more: u32) -> Scope {
-    let freeze = vec![at(0, 1, &[Step::Freeze(A)]), at(1, 11 + more, &[Step::Thaw(A)])];
-    let calls = vec![at(5, 10 + more, &[Step::Call(6), Step::Call(1)])];
+fn process_stalls(extra_rounds: u32) -> Scope {
+    let stall = vec![event(0, 1, &[Step::Stall(A)]), event(1, 11 + extra_rounds, &[Step::Resume(A)])];
+    let calls = vec![event(5, 10 + extra_rounds, &[Step::Call(6), Step::Call(1)])];
     Scope {
-        meets: vec![REPLACED, BACK, AFTER],
+        reaches: vec![REPLACED, REPLACED_RETURNS, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "a process stands still",
+            "a process stalls",
             4,
-            16 + more,
-            vec![freeze, calls, order(2, 4, 10 + more), losing(4, 7 + more)],
+            16 + extra_rounds,
+            vec![stall, calls, call(2, 4, 10 + extra_rounds), lose_messages(4, 7 + extra_rounds)],
         )
     }
 }
 
-fn stands_still_and_hears_one_less(more: u32) -> Scope {
-    let freeze = vec![at(0, 3, &[Step::Freeze(A)]), at(1, 6 + more, &[Step::Thaw(A)])];
-    let link = vec![at(0, 8 + more, &[Step::Cut(A, B), Step::End(B)]), at(4, 14 + more, &[Step::Join(A, B)])];
+fn process_stalls_and_another_falls_silent(extra_rounds: u32) -> Scope {
+    let stall = vec![event(0, 3, &[Step::Stall(A)]), event(1, 6 + extra_rounds, &[Step::Resume(A)])];
+    let link = vec![
+        event(0, 8 + extra_rounds, &[Step::CutLink(A, B), Step::Stop(B)]),
+        event(4, 14 + extra_rounds, &[Step::RestoreLink(A, B)]),
+    ];
     Scope {
-        meets: vec![REPLACED, AFTER],
+        reaches: vec![REPLACED, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "a process stands still, another falls silent to it",
+            "a process stalls, another falls silent to it",
             4,
-            16 + more,
-            vec![freeze, link, vec![at(6, 14 + more, &[Step::Call(3), Step::Call(6)])]],
+            16 + extra_rounds,
+            vec![stall, link, vec![event(6, 14 + extra_rounds, &[Step::Call(3), Step::Call(6)])]],
         )
     }
 }
 
-fn only_the_replaced_one_is_left(more: u32) -> Scope {
-    let replaced = vec![at(0, 1, &[Step::End(C)]), at(4, 10 + more, &[Step::Start(C)])];
+fn one_member_and_a_replaced_store_left(extra_rounds: u32) -> Scope {
+    let replaced = vec![event(0, 1, &[Step::Stop(C)]), event(4, 10 + extra_rounds, &[Step::Start(C)])];
     let others = vec![
-        at(6, 9 + more, &[Step::End(D)]),
-        at(6, 10 + more, &[Step::End(A)]),
-        at(11, 14 + more, &[Step::Start(A), Step::Start(D)]),
+        event(6, 9 + extra_rounds, &[Step::Stop(D)]),
+        event(6, 10 + extra_rounds, &[Step::Stop(A)]),
+        event(11, 14 + extra_rounds, &[Step::Start(A), Step::Start(D)]),
     ];
     Scope {
-        meets: vec![REPLACED, BACK],
+        reaches: vec![REPLACED, REPLACED_RETURNS],
         ..scope(
-            "one member and the replaced one are left",
+            "one member and a replaced store are left",
             4,
-            17 + more,
-            vec![replaced, others, order(2, 8, 12 + more), order(4, 9, 12 + more)],
+            17 + extra_rounds,
+            vec![replaced, others, call(2, 8, 12 + extra_rounds), call(4, 9, 12 + extra_rounds)],
         )
     }
 }
 
-fn a_lost_disk_at_the_pace(more: u32) -> Scope {
-    let replaced = vec![at(0, 1, &[Step::End(C)]), at(8, 12 + more, &[Step::Start(C)])];
-    let lost = vec![at(6, 10 + more, &[Step::End(B)]), at(7, 12 + more, &[Step::StartEmpty(B)])];
-    let next = vec![at(17, 20 + more, &[Step::End(A), Step::End(D)])];
+fn disk_lost_within_change_interval(extra_rounds: u32) -> Scope {
+    let replaced = vec![event(0, 1, &[Step::Stop(C)]), event(8, 12 + extra_rounds, &[Step::Start(C)])];
+    let lost = vec![
+        event(6, 10 + extra_rounds, &[Step::Stop(B)]),
+        event(7, 12 + extra_rounds, &[Step::StartEmpty(B)]),
+    ];
+    let next = vec![event(17, 20 + extra_rounds, &[Step::Stop(A), Step::Stop(D)])];
     Scope {
-        meets: vec![REPLACED, TWICE, AFTER],
+        reaches: vec![REPLACED, REPLACED_TWICE, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "a disk is lost within the pace, then another falls silent",
+            "a disk is lost within the change interval, then another member falls silent",
             4,
-            30 + more,
-            vec![replaced, lost, next, order(7, 6, 10 + more)],
+            30 + extra_rounds,
+            vec![replaced, lost, next, call(7, 6, 10 + extra_rounds)],
         )
     }
 }
 
-fn the_proposer_starts_again(more: u32) -> Scope {
-    let silent = vec![at(0, 1, &[Step::End(C)]), at(6, 10 + more, &[Step::End(B)])];
-    let again = vec![at(4, 10 + more, &[Step::End(A)]), at(5, 13 + more, &[Step::Start(A)])];
+fn proposer_restarts(extra_rounds: u32) -> Scope {
+    let silent = vec![event(0, 1, &[Step::Stop(C)]), event(6, 10 + extra_rounds, &[Step::Stop(B)])];
+    let restart =
+        vec![event(4, 10 + extra_rounds, &[Step::Stop(A)]), event(5, 13 + extra_rounds, &[Step::Start(A)])];
     Scope {
-        meets: vec![REPLACED, TWICE, AFTER],
+        reaches: vec![REPLACED, REPLACED_TWICE, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "who proposed a change starts again within the pace, another falls silent",
+            "the proposer of a change restarts within the change interval, another member falls silent",
             5,
-            28 + more,
-            vec![silent, again, order(7, 6, 12 + more)],
+            28 + extra_rounds,
+            vec![silent, restart, call(7, 6, 12 + extra_rounds)],
         )
     }
 }
 
-fn a_lost_disk_and_a_start(more: u32) -> Scope {
+fn disk_lost_and_proposer_restarts(extra_rounds: u32) -> Scope {
     let lost = vec![
-        at(0, 1, &[Step::End(C)]),
-        at(7, 10 + more, &[Step::End(B)]),
-        at(8, 12 + more, &[Step::StartEmpty(B)]),
+        event(0, 1, &[Step::Stop(C)]),
+        event(7, 10 + extra_rounds, &[Step::Stop(B)]),
+        event(8, 12 + extra_rounds, &[Step::StartEmpty(B)]),
     ];
-    let again = vec![at(4, 8 + more, &[Step::End(A)]), at(5, 10 + more, &[Step::Start(A)])];
+    let restart =
+        vec![event(4, 8 + extra_rounds, &[Step::Stop(A)]), event(5, 10 + extra_rounds, &[Step::Start(A)])];
     Scope {
-        meets: vec![REPLACED, AFTER],
+        reaches: vec![REPLACED, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "a disk is lost within the pace, who proposed the change has started again",
+            "a disk is lost within the change interval, the proposer of the change restarts",
             4,
-            18 + more,
-            vec![lost, again, order(7, 6, 12 + more)],
+            18 + extra_rounds,
+            vec![lost, restart, call(7, 6, 12 + extra_rounds)],
         )
     }
 }
 
-fn cut_off_from_all(more: u32) -> Scope {
-    let links = vec![at(0, 2, &[Step::CutOff(C)]), at(4, 11 + more, &[Step::Rejoin(C)])];
-    let there = vec![at(0, 11 + more, &[Step::Call(3), Step::Call(4)])];
+fn isolated_member(extra_rounds: u32) -> Scope {
+    let isolation =
+        vec![event(0, 2, &[Step::Isolate(C)]), event(4, 11 + extra_rounds, &[Step::Reconnect(C)])];
+    let calls = vec![event(0, 11 + extra_rounds, &[Step::Call(3), Step::Call(4)])];
     Scope {
-        meets: vec![REPLACED, BACK, AFTER],
+        reaches: vec![REPLACED, REPLACED_RETURNS, ACKNOWLEDGED_AFTER_REPLACEMENT],
         ..scope(
-            "one that is cut off from all runs on and is called",
+            "an isolated member keeps running and gets calls",
             4,
-            13 + more,
-            vec![links, there, order(2, 4, 11 + more), losing(4, 7 + more)],
+            13 + extra_rounds,
+            vec![isolation, calls, call(2, 4, 11 + extra_rounds), lose_messages(4, 7 + extra_rounds)],
         )
     }
 }
 
-/// Each defect with the scope that is to find it, and what it is to break.
+/// Each defect with its scope, and the properties of which the search has to find one violated.
 pub fn defects() -> Vec<(Defect, Scope, &'static [&'static str])> {
     vec![
-        (Defect::LeavesOutPace, two_fall_silent(0), &[PACED]),
-        (Defect::CountsReplaced, only_the_replaced_one_is_left(0), &[VOTES]),
-        (Defect::JudgesAfterStandstill, stands_still_and_hears_one_less(0), &[SILENT]),
-        (Defect::ForgetsChange, back_with_its_disk(0), &[MEET]),
-        (Defect::ForgetsBefore, a_lost_disk_and_a_start(0), &[BEFORE]),
+        (Defect::IgnoresChangeInterval, two_members_fall_silent(0), &[CHANGE_INTERVAL]),
+        (Defect::CountsVoteOfReplaced, one_member_and_a_replaced_store_left(0), &[COMMIT_QUORUM]),
+        (Defect::IgnoresOwnStall, process_stalls_and_another_falls_silent(0), &[REPLACED_AFTER_SILENCE]),
+        (Defect::ForgetsMembershipChange, silent_member_returns_with_disk(0), &[PAST_EPOCHS_AWARE]),
+        (Defect::ForgetsPreviousMembers, disk_lost_and_proposer_restarts(0), &[PREVIOUS_NAMES]),
     ]
 }
--- a/crates/consensus/tests/model/replacement/state.rs
+++ b/crates/consensus/tests/model/replacement/state.rs
@@ -1,4 +1,4 @@
-//! A state: machines and their clocks, links that are cut, and what has been seen of votes and changes.
+//! A state of the model: machines with their clocks, links that are cut, and a record of votes and membership changes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,82 +6,89 @@
 use pinerelay_consensus::PersistentState;
 use pinerelay_consensus::{Ballot, Member, Membership, Message, Store};
 
-use crate::state::{name, Calls};
+use crate::state::{store_name, CallSet};
 
-/// A word on its way.
+/// A message in flight, with the indices of its sender and receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Said {
+pub struct Envelope {
     pub from: usize,
     pub to: usize,
-    pub word: Message,
+    pub message: Message,
 }
 
-/// A machine: its disk, and the process on it, if it runs. What is written is on the disk at once.
+/// A machine: its disk, and its store while the process runs. Writes are durable at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Machine {
     pub disk: Option<PersistentState>,
     pub store: Option<Store>,
-    pub life: u64,
-    /// When its process began; its clock counts from there.
-    pub begun: Micros,
-    /// Its process stands still, and its clock goes on.
-    pub frozen: bool,
+    /// Counts the starts of the process.
+    pub process_id: u64,
+    /// When its process started; the clock of the store counts from there.
+    pub started_at: Micros,
+    /// The process is stalled: it handles no input while its clock goes on.
+    pub stalled: bool,
     /// When it last ticked.
-    pub ticked: Micros,
-    /// From when on it has been awake without a standstill.
-    pub awake: Micros,
-    /// When it last heard each other's digest.
-    pub heard: BTreeMap<usize, Micros>,
-    /// When it last found each other silent for so long that it may be replaced.
-    pub silent: BTreeMap<usize, Micros>,
-    /// What had been acknowledged when it told its digest, by when that was on its clock.
-    pub told: VecDeque<(Micros, Calls)>,
+    pub last_tick: Micros,
+    /// Since when the process has run without a stall.
+    pub awake_since: Micros,
+    /// By sender: when it last received a heartbeat.
+    pub last_heartbeat: BTreeMap<usize, Micros>,
+    /// By machine: when it last found that machine silent for so long that it may be replaced.
+    pub last_silent: BTreeMap<usize, Micros>,
+    /// For each time, by its own clock, at which it sent heartbeats: the calls that had been acknowledged by then.
+    pub heartbeats_sent: VecDeque<(Micros, CallSet)>,
 }
 
-/// The kinds of words that may be lost.
+/// The kinds of messages that may be lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
-    Put,
-    Kept,
-    Settle,
-    Members,
+pub enum MessageKind {
+    Accept,
+    Accepted,
+    Commit,
+    NewMembership,
 }
 
-impl Kind {
-    pub fn is(self, word: &Message) -> bool {
+impl MessageKind {
+    /// Whether a message is of this kind.
+    pub fn includes(self, message: &Message) -> bool {
         match self {
-            Kind::Put => matches!(word, Message::Accept { .. }),
-            Kind::Kept => matches!(word, Message::Accepted { .. }),
-            Kind::Settle => matches!(word, Message::Commit { .. }),
-            Kind::Members => matches!(word, Message::NewMembership(_)),
+            MessageKind::Accept => matches!(message, Message::Accept { .. }),
+            MessageKind::Accepted => matches!(message, Message::Accepted { .. }),
+            MessageKind::Commit => matches!(message, Message::Commit { .. }),
+            MessageKind::NewMembership => matches!(message, Message::NewMembership(_)),
         }
     }
 }
 
-/// What may happen.
+/// A step of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Half a second passes.
-    Pass,
-    /// The process ends; its disk stays.
-    End(usize),
+    AdvanceRound,
+    /// The process on this machine ends; the disk stays.
+    Stop(usize),
+    /// A process starts on this machine.
     Start(usize),
     /// The disk is lost, and a process starts on an empty one.
     StartEmpty(usize),
-    /// The process stands still.
-    Freeze(usize),
-    Thaw(usize),
-    Cut(usize, usize),
-    Join(usize, usize),
-    /// All its links are cut.
-    CutOff(usize),
-    Rejoin(usize),
-    /// Words of this kind are lost for the next half second.
-    Lose(Kind),
+    /// The process on this machine stalls.
+    Stall(usize),
+    /// The stalled process goes on.
+    Resume(usize),
+    /// No message passes between these machines any more.
+    CutLink(usize, usize),
+    RestoreLink(usize, usize),
+    /// All links of this machine are cut.
+    Isolate(usize),
+    /// All links of this machine are restored.
+    Reconnect(usize),
+    /// Messages of this kind are lost until the end of the next round.
+    Lose(MessageKind),
+    /// Makes the call with this index in the scope.
     Call(usize),
 }
 
-/// An epoch: who votes, and when a store first knew.
+/// An epoch: its membership, and when a store first knew it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Epoch {
     pub membership: Membership,
@@ -89,52 +96,61 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct SystemState {
     pub now: Micros,
     pub round: u32,
     pub machines: Vec<Machine>,
-    pub wire: VecDeque<Said>,
-    pub cuts: BTreeSet<(usize, usize)>,
-    pub loses: Option<Kind>,
-    /// How far each thread of events has come.
-    pub threads: Vec<usize>,
-    /// Open calls, each with what a read must show.
-    pub open: Vec<(usize, Calls)>,
-    pub known: Calls,
-    pub acknowledged: Calls,
-    pub refused: Calls,
+    pub network: VecDeque<Envelope>,
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Messages of this kind are lost.
+    pub lost_kind: Option<MessageKind>,
+    /// By timeline of the scope: the index after its last event that has happened.
+    pub timelines: Vec<usize>,
+    /// Calls without a reply, each with the updates that it must return if it is a read.
+    pub open_calls: Vec<(usize, CallSet)>,
+    /// Updates that were acknowledged, or returned by a read.
+    pub observed: CallSet,
+    pub acknowledged: CallSet,
+    pub rejected: CallSet,
     pub epochs: BTreeMap<u64, Epoch>,
-    /// Changes that have been put by any store.
+    /// Membership changes that any store has proposed: epoch and members.
     pub proposed: BTreeSet<(u64, Vec<Member>)>,
-    /// By ballot: on whose disks its batch was put.
-    pub kept: BTreeMap<Ballot, BTreeSet<Member>>,
-    pub agreed: BTreeSet<Ballot>,
-    /// When the members' names last changed.
-    pub renamed: Option<Micros>,
-    /// How often they have.
-    pub renames: u32,
-    /// An order has been acknowledged since.
-    pub taken_since: bool,
-    /// What an input shows to be wrong.
-    pub wrong: Option<&'static str>,
+    /// By ballot: the members that have accepted its batch.
+    pub accepted_by: BTreeMap<Ballot, BTreeSet<Member>>,
+    /// Ballots whose batch was committed.
+    pub committed_ballots: BTreeSet<Ballot>,
+    /// When the names of the members last changed.
+    pub names_changed_at: Option<Micros>,
+    /// How often the names of the members have changed.
+    pub name_changes: u32,
+    /// An update has been acknowledged after the first of these changes.
+    pub acknowledged_after_replacement: bool,
+    /// The property that a step has violated.
+    pub violation: Option<&'static str>,
 }
 
-impl World {
+impl SystemState {
+    /// Whether messages pass between two machines.
     pub fn linked(&self, a: usize, b: usize) -> bool {
-        !self.cuts.contains(&(a.min(b), a.max(b)))
+        !self.cut_links.contains(&(a.min(b), a.max(b)))
     }
 
-    pub fn newest(&self) -> &Membership {
-        &self.epochs.last_key_value().expect("an epoch").1.membership
+    /// The membership of the highest epoch that any store has known.
+    pub fn newest_membership(&self) -> &Membership {
+        &self.epochs.last_key_value().expect("epoch 1 is always recorded").1.membership
     }
 
-    /// The disk of a member, unless it is lost.
+    /// The disk of a member, unless it was lost.
     pub fn disk_of(&self, member: &Member) -> Option<&PersistentState> {
-        let me = (0..self.machines.len()).find(|&me| name(me) == member.name)?;
-        self.machines[me].disk.as_ref().filter(|kept| kept.incarnation == Some(member.incarnation))
+        let index = (0..self.machines.len()).find(|&index| store_name(index) == member.name)?;
+        self.machines[index]
+            .disk
+            .as_ref()
+            .filter(|persisted| persisted.incarnation == Some(member.incarnation))
     }
 
-    pub fn disks(&self) -> Vec<&PersistentState> {
-        self.newest().members.iter().filter_map(|member| self.disk_of(member)).collect()
+    /// The disks of the current members, without those that were lost.
+    pub fn member_disks(&self) -> Vec<&PersistentState> {
+        self.newest_membership().members.iter().filter_map(|member| self.disk_of(member)).collect()
     }
 }
--- a/crates/consensus/tests/model/replacement/transitions.rs
+++ b/crates/consensus/tests/model/replacement/transitions.rs
@@ -1,35 +1,35 @@
-//! The steps of a state, and the state after each.
+//! The transition relation: the steps that are enabled in a state, and the state after each.
 
 use stateright::{Model, Property};
 
 use super::properties;
 use super::scopes::{Event, Scope};
-use super::state::{Step, World};
+use super::state::{Step, SystemState};
 
 impl Scope {
-    /// Whether the step can be taken, and then the state after it.
-    fn take(&self, world: &mut World, step: Step) -> bool {
-        let running = |world: &World, me: usize| world.machines[me].store.is_some();
+    /// Takes a step; returns false if it is not possible in this state.
+    fn perform(&self, state: &mut SystemState, step: Step) -> bool {
+        let running = |state: &SystemState, me: usize| state.machines[me].store.is_some();
         match step {
-            Step::Pass => self.pass(world),
-            Step::End(me) if running(world, me) => self.end(world, me),
-            Step::Start(me) if !running(world, me) => self.start(world, me, false),
-            Step::StartEmpty(me) if !running(world, me) => {
-                world.machines[me].disk = None;
-                self.start(world, me, false);
+            Step::AdvanceRound => self.run_round(state),
+            Step::Stop(me) if running(state, me) => self.stop(state, me),
+            Step::Start(me) if !running(state, me) => self.start(state, me, false),
+            Step::StartEmpty(me) if !running(state, me) => {
+                state.machines[me].disk = None;
+                self.start(state, me, false);
             }
-            Step::Freeze(me) if running(world, me) => world.machines[me].frozen = true,
-            Step::Thaw(me) if world.machines[me].frozen => world.machines[me].frozen = false,
-            Step::Cut(a, b) => _ = world.cuts.insert((a.min(b), a.max(b))),
-            Step::Join(a, b) => return world.cuts.remove(&(a.min(b), a.max(b))),
-            Step::CutOff(me) => {
-                let others = (0..self.cores).filter(|other| *other != me);
-                world.cuts.extend(others.map(|other| (me.min(other), me.max(other))));
+            Step::Stall(me) if running(state, me) => state.machines[me].stalled = true,
+            Step::Resume(me) if state.machines[me].stalled => state.machines[me].stalled = false,
+            Step::CutLink(a, b) => _ = state.cut_links.insert((a.min(b), a.max(b))),
+            Step::RestoreLink(a, b) => return state.cut_links.remove(&(a.min(b), a.max(b))),
+            Step::Isolate(me) => {
+                let others = (0..self.machine_count).filter(|other| *other != me);
+                state.cut_links.extend(others.map(|other| (me.min(other), me.max(other))));
             }
-            Step::Rejoin(me) => world.cuts.retain(|(a, b)| *a != me && *b != me),
-            Step::Lose(kind) if world.loses.is_none() => world.loses = Some(kind),
-            Step::Call(n) if running(world, self.calls[n].0) && !world.machines[self.calls[n].0].frozen => {
-                self.call(world, n);
+            Step::Reconnect(me) => state.cut_links.retain(|(a, b)| *a != me && *b != me),
+            Step::Lose(kind) if state.lost_kind.is_none() => state.lost_kind = Some(kind),
+            Step::Call(n) if running(state, self.calls[n].0) && !state.machines[self.calls[n].0].stalled => {
+                self.call(state, n);
             }
             _ => return false,
         }
@@ -38,39 +38,39 @@
 }
 
 impl Model for Scope {
-    type State = World;
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![self.first_state()]
+    fn init_states(&self) -> Vec<SystemState> {
+        vec![self.initial_state()]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.round < self.rounds {
-            steps.push(Step::Pass);
+    fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
+        if state.round < self.rounds {
+            steps.push(Step::AdvanceRound);
         }
-        for (events, &at) in self.threads.iter().zip(&world.threads) {
-            // What has not happened in its time never does.
-            if let Some(event) = events[at..].iter().find(|event| world.round < event.until) {
-                if world.round >= event.from {
+        for (events, &at) in self.timelines.iter().zip(&state.timelines) {
+            // An event that has not happened in its rounds never does.
+            if let Some(event) = events[at..].iter().find(|event| state.round < event.until) {
+                if state.round >= event.from {
                     steps.extend(&event.any);
                 }
             }
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
-        if step != Step::Pass {
+    fn next_state(&self, previous: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = previous.clone();
+        if step != Step::AdvanceRound {
             let due = |(events, at): (&Vec<Event>, &usize)| {
-                let n = (*at..events.len()).find(|&n| world.round < events[n].until)?;
-                (world.round >= events[n].from && events[n].any.contains(&step)).then_some(n)
+                let n = (*at..events.len()).find(|&n| state.round < events[n].until)?;
+                (state.round >= events[n].from && events[n].any.contains(&step)).then_some(n)
             };
-            let mut threads = self.threads.iter().zip(&world.threads).enumerate();
-            let (thread, n) = threads.find_map(|(thread, of)| Some((thread, due(of)?)))?;
-            world.threads[thread] = n + 1;
+            let mut timelines = self.timelines.iter().zip(&state.timelines).enumerate();
+            let (timeline, n) = timelines.find_map(|(timeline, of)| Some((timeline, due(of)?)))?;
+            state.timelines[timeline] = n + 1;
         }
-        self.take(&mut world, step).then_some(world)
+        self.perform(&mut state, step).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
--- a/crates/consensus/tests/model/scope.rs
+++ b/crates/consensus/tests/model/scope.rs
@@ -1,4 +1,4 @@
-//! What is played: the steps, the bounds, and what is tampered with.
+//! Configuration of one bounded search: the steps, the bounds and the seeded defect.
 
 use pinerelay_config_state::Item;
 use pinerelay_consensus::Micros;
@@ -6,97 +6,111 @@
 use pinerelay_consensus::Request;
 
 use crate::shared::{Memo, Shared};
-use crate::state::{Calls, Left, Said, Turned};
+use crate::state::{Budget, CallSet, Envelope, Transition};
 
+/// A step of the model.
 #[derive(Clone, PartialEq)]
 pub enum Step {
-    Hear {
-        said: Shared<Said>,
-        again: bool,
+    /// Delivers a message that is in flight.
+    Deliver {
+        envelope: Shared<Envelope>,
+        /// The message stays in flight and can be delivered again.
+        duplicate: bool,
     },
+    /// The oldest unsynced write of this machine becomes durable.
     Sync(usize),
-    /// So many of its unsynced writes get to the disk.
+    /// The process on a machine ends. The given number of its unsynced writes become durable first; the others are lost.
     Crash(usize, usize),
+    /// The process on this machine ends, and the disk loses its content.
     Wipe(usize),
+    /// A process starts on this machine.
     Start(usize),
+    /// Makes the call with this index in [`Scope::calls`].
     Call(usize),
+    /// The clock of a machine advances by this much, and its store gets a tick.
     Tick(usize, Micros),
 }
 
-/// A call that is made and answered before the search begins, where these machines hear nothing, and what
-/// tells of its end may still be on the way.
+/// A call that is acknowledged before the search begins.
 #[derive(Debug, Clone, Default)]
-pub struct Before {
+pub struct PriorCall {
+    /// Index in [`Scope::calls`].
     pub call: usize,
-    pub deaf: Vec<usize>,
-    pub untold: bool,
-    /// What these write stays unwritten.
-    pub unsynced: Vec<usize>,
-    /// Promises are heard, and stay on the way.
-    pub doubled: bool,
+    /// Messages to these machines are lost, except those that stay in flight.
+    pub unreachable: Vec<usize>,
+    /// Each `Commit` stays in flight instead of being delivered.
+    pub commits_in_flight: bool,
+    /// Writes on these machines stay unsynced.
+    pub unsynced_machines: Vec<usize>,
+    /// A copy of each promise stays in flight.
+    pub duplicate_promises: bool,
 }
 
-/// What a store is made to do wrong, by what it is given and what is taken from it.
+/// A seeded defect. The store itself is unmodified: the model alters its inputs, outputs or disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// The ceiling of its promises is gone with a process.
+    /// The promise ceiling does not survive a restart.
     ForgetsPromises,
-    /// It tells what is not on its disk yet.
-    TellsUnsynced,
-    /// What a voter lacks does not come with a put.
-    LeavesOutFill,
-    /// An empty disk is the one at the system's first start.
-    TakesEmptyDiskForFirst,
-    /// What is settled counts under the epoch of who hears of it.
-    SettlesUnderOwnEpoch,
-    /// A promise that had to wait for the disk does not ask whether the epoch is past.
+    /// Writes are reported as durable before they are synced.
+    ReportsWriteBeforeSync,
+    /// `Accept` arrives without the committed items that the acceptor lacks.
+    OmitsMissingItems,
+    /// A voter that finds an empty disk takes it for the first start of the system.
+    TreatsEmptyDiskAsFirstStart,
+    /// The membership in a `Commit` is replaced by the receiver's own.
+    CommitsUnderReceiverEpoch,
+    /// A promise that waited for a write is sent even if its epoch has passed meanwhile.
     PromisesInPastEpoch,
-    /// An empty disk says that it has held everything.
-    TakesEmptyDiskForWhole,
-    /// Each life counts as the first.
+    /// An empty disk is marked as complete.
+    MarksEmptyDiskComplete,
+    /// Each process of a machine has process id 1, and so the same ballots.
     ReusesBallots,
-    /// A copy is confirmed by one that has something pending.
+    /// A `HeartbeatAck` never reports a pending batch.
     HidesPending,
-    /// A change of the membership takes force without the members before it.
-    LeavesOutOldMembers,
+    /// A membership change takes effect without votes of the members before it.
+    BypassesOldQuorum,
 }
 
-/// What is played: how many of each there may be, and what is tampered with.
+/// A bounded model: machines, calls, fault budget, depth and seeded defect.
 #[derive(Debug, Clone)]
 pub struct Scope {
     pub name: &'static str,
-    pub cores: usize,
-    /// The first of them vote from the beginning; the others are new.
+    pub machine_count: usize,
+    /// Number of machines that vote from the beginning, the first ones; the others are spares.
     pub voters: usize,
-    /// At which machine, and what.
+    /// Each call: the index of its machine, and the request.
     pub calls: Vec<(usize, Request)>,
-    pub left: Left,
-    /// By how much a store's clock may go on at once.
-    pub jumps: Vec<Micros>,
-    /// What is written here gets to the disk in a step of its own, elsewhere at once.
-    pub late: Vec<usize>,
-    /// Digests and summaries are told, too.
-    pub digests: bool,
-    /// Calls that are made and answered before.
-    pub already: Vec<Before>,
-    /// These are off, and never start.
-    pub off: Vec<usize>,
-    /// These have ended and started once before: their ballots are above what the others' disks allow them to promise.
-    /// Of some not even what they wrote at their start is on disk.
+    pub budget: Budget,
+    /// By how much one tick may advance the clock of a store.
+    pub clock_advances: Vec<Micros>,
+    /// Machines whose writes become durable in a step of their own; elsewhere they do so at once.
+    pub delayed_sync: Vec<usize>,
+    /// Whether heartbeats and anti-entropy messages are sent.
+    pub background_messages: bool,
+    /// Calls that are acknowledged before the search begins.
+    pub prior_calls: Vec<PriorCall>,
+    /// Machines that are stopped before the search begins and never start.
+    pub stopped: Vec<usize>,
+    /// Machines that were restarted once before the search begins, each with whether the first writes of its new process
+    /// are synced. Their ballots are above the promise ceiling on the disks of the others.
     pub restarted: Vec<(usize, bool)>,
-    /// States are reached so deep, the first as 1. What a state of the last depth breaks is not looked at, so
-    /// all of two steps less is.
+    /// Maximum depth; the initial state has depth 1. Properties of states at the maximum depth are not checked, so traces
+    /// of up to `depth` - 2 steps are.
     pub depth: usize,
-    /// What it has to meet.
-    pub meets: Vec<&'static str>,
+    /// The `sometimes` properties that the search has to reach.
+    pub reaches: Vec<&'static str>,
     pub defect: Option<Defect>,
-    pub turned: Memo<Turned>,
+    /// Results of [`pinerelay_consensus::Store::step`].
+    pub transitions: Memo<Transition>,
+    /// Disks after a write.
     pub disks: Memo<Shared<Option<PersistentState>>>,
-    pub judged: Memo<bool>,
+    /// Results of the properties that depend only on parts of the state.
+    pub property_results: Memo<bool>,
 }
 
 impl Scope {
-    pub fn items(&self, set: Calls) -> impl Iterator<Item = &Item> {
+    /// The items of the updates in a set of calls.
+    pub fn items(&self, set: CallSet) -> impl Iterator<Item = &Item> {
         let in_set = move |(n, call): (usize, &'_ (usize, Request))| {
             set & (1 << n) != 0 && matches!(call.1, Request::Update(_))
         };
--- a/crates/consensus/tests/model/searches.rs
+++ b/crates/consensus/tests/model/searches.rs
@@ -1,215 +1,237 @@
-//! The searches, and their calls.
+//! The exhaustive searches: their scopes and calls.
 
 use pinerelay_config_state::operator_call;
 use pinerelay_consensus::{Member, Membership, Request};
 
-use crate::properties::{ACKNOWLEDGED, CONFLICT, REPAIRED};
-use crate::scope::{Before, Scope};
+use crate::properties::{CONFLICT, REPAIRED, TWO_ACKNOWLEDGED};
+use crate::scope::{PriorCall, Scope};
 use crate::shared::Memo;
-use crate::state::{name, Left};
+use crate::state::{store_name, Budget};
 
+/// A call that upserts a tenant with one API key.
 pub fn tenant(name: &str, revision: u64, key: &str) -> Request {
     let text = format!(
         r#"{{"upsert":{{"tenants":{{"column_names":["name","revision","api_keys"],
         "records":[["{name}",{revision},["{key}"]]]}}}}}}"#
     );
-    Request::Update(operator_call::parse_update(text.as_bytes()).expect("a call"))
+    Request::Update(operator_call::parse_update(text.as_bytes()).expect("the call is valid"))
 }
 
-/// Who votes in an epoch: machines, and the incarnations of their disks.
-pub fn membership(epoch: u64, of: &[(usize, u64)]) -> Membership {
-    let mut members: Vec<Member> =
-        of.iter().map(|&(me, incarnation)| Member { name: name(me), incarnation }).collect();
+/// The membership of an epoch, by the indices of the machines and the incarnations of their disks.
+pub fn membership(epoch: u64, members: &[(usize, u64)]) -> Membership {
+    let mut members: Vec<Member> = members
+        .iter()
+        .map(|&(machine, incarnation)| Member { name: store_name(machine), incarnation })
+        .collect();
     members.sort();
-    Membership { epoch, members, previous: (0..3).map(name).collect() }
+    Membership { epoch, members, previous: (0..3).map(store_name).collect() }
 }
 
-pub fn change(epoch: u64, of: &[(usize, u64)]) -> Request {
-    Request::ChangeMembership(membership(epoch, of))
+/// A call that changes the membership.
+pub fn change_membership(epoch: u64, members: &[(usize, u64)]) -> Request {
+    Request::ChangeMembership(membership(epoch, members))
 }
 
-/// The searches, each of which is to break nothing. `long` ones go deeper.
+/// The searches, none of which may find a violation. With `long` they go deeper.
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one play with its checks")]
 pub fn searches(long: bool) -> Vec<Scope> {
     let base = Scope {
         name: "",
-        cores: 3,
+        machine_count: 3,
         voters: 3,
         calls: Vec::new(),
-        left: Left::default(),
-        jumps: vec![400_000],
-        late: Vec::new(),
-        digests: false,
-        already: Vec::new(),
-        off: Vec::new(),
+        budget: Budget::default(),
+        clock_advances: vec![400_000],
+        delayed_sync: Vec::new(),
+        background_messages: false,
+        prior_calls: Vec::new(),
+        stopped: Vec::new(),
         restarted: Vec::new(),
         depth: 60,
-        meets: Vec::new(),
+        reaches: Vec::new(),
         defect: None,
-        turned: Memo::default(),
+        transitions: Memo::default(),
         disks: Memo::default(),
-        judged: Memo::default(),
+        property_results: Memo::default(),
     };
-    let (read, none) = ((2, Request::Read), Left::default());
-    let clash = [(0, tenant("t1", 1, "k")), (2, tenant("t2", 1, "k"))];
-    let apart = [(0, tenant("t1", 1, "k1")), (2, tenant("t2", 1, "k2"))];
+    let (read, none) = ((2, Request::Read), Budget::default());
+    let conflicting_at_a_and_c = [(0, tenant("t1", 1, "k")), (2, tenant("t2", 1, "k"))];
+    let independent = [(0, tenant("t1", 1, "k1")), (2, tenant("t2", 1, "k2"))];
     let one_store = [(0, tenant("t1", 1, "k1")), (0, tenant("t2", 1, "k2"))];
-    let scope = |name, calls: &[(usize, Request)], left, depths: [usize; 2]| Scope {
+    let scope = |name, calls: &[(usize, Request)], budget, depths: [usize; 2]| Scope {
         name,
         calls: calls.to_vec(),
-        left,
+        budget,
         depth: depths[usize::from(long)],
         ..base.clone()
     };
-    let one_lost = Left { wipes: 1, ticks: 1, ..none };
-    let replaced = change(2, &[(0, 0), (1, 0), (3, 1)]);
-    let crash = Left { crashes: 1, ..none };
-    let both = [(0, tenant("t1", 1, "k1")), (1, tenant("t2", 1, "k2"))];
-    let clashing = [(0, tenant("t1", 1, "k")), (1, tenant("t2", 1, "k"))];
-    let with = |first: &[(usize, Request)], more: &[(usize, Request)]| [first, more].concat();
-    let to_d = (0, replaced.clone());
-    let to_d_untold =
-        |deaf: &[usize]| vec![Before { call: 0, deaf: deaf.to_vec(), untold: true, ..Before::default() }];
-    let told = vec![Before { call: 0, ..Before::default() }];
-    // C lost its disk and votes again; so does B, after D.
-    let c_again = (0, change(2, &[(0, 0), (1, 0), (2, 2)]));
-    let b_again = (0, change(3, &[(0, 0), (1, 2), (3, 1)]));
-    let two_hold = vec![Before { call: 0, deaf: vec![2], ..Before::default() }];
+    let wipe_and_tick = Budget { wipes: 1, ticks: 1, ..none };
+    let move_c_to_d = change_membership(2, &[(0, 0), (1, 0), (3, 1)]);
+    let crash = Budget { crashes: 1, ..none };
+    let at_a_and_b = [(0, tenant("t1", 1, "k1")), (1, tenant("t2", 1, "k2"))];
+    let conflicting_at_a_and_b = [(0, tenant("t1", 1, "k")), (1, tenant("t2", 1, "k"))];
+    let concat = |first: &[(usize, Request)], more: &[(usize, Request)]| [first, more].concat();
+    let move_c_to_d_call = (0, move_c_to_d.clone());
+    let moved_commit_in_flight = |unreachable: &[usize]| {
+        vec![PriorCall {
+            call: 0,
+            unreachable: unreachable.to_vec(),
+            commits_in_flight: true,
+            ..PriorCall::default()
+        }]
+    };
+    let moved = vec![PriorCall { call: 0, ..PriorCall::default() }];
+    // C votes again after the loss of its disk; B likewise, in an epoch after D joined.
+    let rejoin_c = (0, change_membership(2, &[(0, 0), (1, 0), (2, 2)]));
+    let rejoin_b = (0, change_membership(3, &[(0, 0), (1, 2), (3, 1)]));
+    let on_two_disks = vec![PriorCall { call: 0, unreachable: vec![2], ..PriorCall::default() }];
     vec![
         Scope {
-            meets: vec![CONFLICT],
-            ..scope("two that clash", &clash, Left { ticks: 1, ..none }, [12, 17])
+            reaches: vec![CONFLICT],
+            ..scope("two conflicting updates", &conflicting_at_a_and_c, Budget { ticks: 1, ..none }, [12, 17])
+        },
+        scope("two conflicting updates, a restart", &conflicting_at_a_and_c, crash, [18, 23]),
+        scope("two updates and a read", &concat(&one_store, std::slice::from_ref(&read)), none, [17, 20]),
+        Scope {
+            reaches: vec![TWO_ACKNOWLEDGED],
+            ..scope("two updates at one store", &one_store, none, [17, 22])
         },
-        scope("two that clash, a restart", &clash, crash, [18, 23]),
-        scope("two and a read", &with(&one_store, std::slice::from_ref(&read)), none, [17, 20]),
-        Scope { meets: vec![ACKNOWLEDGED], ..scope("two at one store", &one_store, none, [17, 22]) },
         Scope {
-            late: vec![0, 1, 2, 3],
-            ..scope("two at one store, a restart, late syncs", &one_store, crash, [16, 21])
+            delayed_sync: vec![0, 1, 2, 3],
+            ..scope("two updates at one store, a restart, delayed syncs", &one_store, crash, [16, 21])
         },
-        scope("two apart, a lost disk", &apart, Left { wipes: 1, ..none }, [12, 17]),
+        scope("two independent updates, a lost disk", &independent, Budget { wipes: 1, ..none }, [12, 17]),
         Scope {
-            already: two_hold.clone(),
+            prior_calls: on_two_disks.clone(),
             ..scope(
-                "one that two hold, a read, a lost disk",
-                &[apart[0].clone(), read.clone()],
-                one_lost,
+                "an update on two disks, a read, a lost disk",
+                &[independent[0].clone(), read.clone()],
+                wipe_and_tick,
                 [60, 60],
             )
         },
         Scope {
-            already: two_hold.clone(),
+            prior_calls: on_two_disks.clone(),
             ..scope(
-                "one that two hold, a read, a lost disk that votes again, a restart",
-                &[apart[0].clone(), (2, Request::Read), c_again.clone()],
-                Left { crashes: 1, ..one_lost },
+                "an update on two disks, a read, a lost disk that votes again, a restart",
+                &[independent[0].clone(), (2, Request::Read), rejoin_c.clone()],
+                Budget { crashes: 1, ..wipe_and_tick },
                 [11, 16],
             )
         },
         Scope {
-            meets: vec![REPAIRED],
-            ..scope("a lost disk", std::slice::from_ref(&c_again), one_lost, [60, 60])
+            reaches: vec![REPAIRED],
+            ..scope("a lost disk", std::slice::from_ref(&rejoin_c), wipe_and_tick, [60, 60])
         },
         Scope {
-            cores: 4,
-            off: vec![2],
-            already: told.clone(),
-            meets: vec![REPAIRED],
+            machine_count: 4,
+            stopped: vec![2],
+            prior_calls: moved.clone(),
+            reaches: vec![REPAIRED],
             ..scope(
-                "a lost disk beside one that is off",
-                &[to_d.clone(), both[0].clone(), b_again],
-                one_lost,
+                "a lost disk while another machine is stopped",
+                &[move_c_to_d_call.clone(), at_a_and_b[0].clone(), rejoin_b],
+                wipe_and_tick,
                 [13, 18],
             )
         },
         Scope {
-            cores: 4,
-            already: to_d_untold(&[2, 3]),
+            machine_count: 4,
+            prior_calls: moved_commit_in_flight(&[2, 3]),
             ..scope(
-                "a member that missed a change, an order at each side",
-                &with(std::slice::from_ref(&to_d), &both),
+                "a member that missed a membership change, updates at two stores",
+                &concat(std::slice::from_ref(&move_c_to_d_call), &at_a_and_b),
                 none,
                 [13, 18],
             )
         },
         Scope {
-            cores: 4,
-            late: vec![0, 1, 2, 3],
+            machine_count: 4,
+            delayed_sync: vec![0, 1, 2, 3],
             restarted: vec![(2, true)],
-            already: to_d_untold(&[2, 3]),
+            prior_calls: moved_commit_in_flight(&[2, 3]),
             ..scope(
-                "a member that learns of a change while its promise waits for the disk",
-                &[to_d.clone(), (2, tenant("t2", 1, "k2"))],
+                "a member that learns of a membership change while its promise waits for a write",
+                &[move_c_to_d_call.clone(), (2, tenant("t2", 1, "k2"))],
                 none,
                 [16, 21],
             )
         },
         Scope {
-            cores: 4,
+            machine_count: 4,
             ..scope(
-                "a change while two orders that clash are put",
-                &with(std::slice::from_ref(&to_d), &clashing),
+                "a membership change during two conflicting updates",
+                &concat(std::slice::from_ref(&move_c_to_d_call), &conflicting_at_a_and_b),
                 none,
                 [11, 16],
             )
         },
         Scope {
-            cores: 4,
+            machine_count: 4,
             ..scope(
-                "a change while an order is put, a restart",
-                &[to_d.clone(), both[1].clone()],
+                "a membership change during an update, a restart",
+                &[move_c_to_d_call.clone(), at_a_and_b[1].clone()],
                 crash,
                 [11, 16],
             )
         },
         Scope {
-            cores: 4,
-            already: to_d_untold(&[1]),
+            machine_count: 4,
+            prior_calls: moved_commit_in_flight(&[1]),
             ..scope(
-                "a second change before the first is known",
-                &[to_d.clone(), (1, change(2, &[(0, 0), (2, 0), (3, 1)])), both[1].clone()],
+                "a second membership change before the first is known",
+                &[
+                    move_c_to_d_call.clone(),
+                    (1, change_membership(2, &[(0, 0), (2, 0), (3, 1)])),
+                    at_a_and_b[1].clone(),
+                ],
                 none,
                 [11, 16],
             )
         },
         Scope {
-            cores: 4,
-            already: to_d_untold(&[2]),
+            machine_count: 4,
+            prior_calls: moved_commit_in_flight(&[2]),
             ..scope(
-                "one that was removed calls and reads",
-                &[to_d.clone(), both[0].clone(), (2, tenant("t2", 1, "k1")), (2, Request::Read)],
+                "an update and a read at a removed member",
+                &[
+                    move_c_to_d_call.clone(),
+                    at_a_and_b[0].clone(),
+                    (2, tenant("t2", 1, "k1")),
+                    (2, Request::Read),
+                ],
                 none,
                 [10, 15],
             )
         },
         Scope {
-            already: two_hold.clone(),
+            prior_calls: on_two_disks.clone(),
             ..scope(
-                "words of a disk that was lost are on the way while the next one votes",
-                &[both[0].clone(), (0, tenant("t2", 1, "k2")), c_again.clone()],
-                Left { wipes: 1, ..none },
+                "messages of a lost disk are in flight while the new disk votes",
+                &[at_a_and_b[0].clone(), (0, tenant("t2", 1, "k2")), rejoin_c.clone()],
+                Budget { wipes: 1, ..none },
                 [15, 60],
             )
         },
         Scope {
-            already: two_hold.clone(),
-            digests: true,
-            jumps: vec![100_000],
+            prior_calls: on_two_disks.clone(),
+            background_messages: true,
+            clock_advances: vec![100_000],
             ..scope(
-                "digests, an order, a lost disk that votes again",
-                &[both[0].clone(), (0, tenant("t2", 1, "k2")), c_again.clone()],
-                Left { wipes: 1, ticks: 2, ..none },
+                "heartbeats, two updates, a lost disk that votes again",
+                &[at_a_and_b[0].clone(), (0, tenant("t2", 1, "k2")), rejoin_c.clone()],
+                Budget { wipes: 1, ticks: 2, ..none },
                 [9, 13],
             )
         },
         Scope {
-            digests: true,
-            already: told.clone(),
-            jumps: vec![100_000],
+            background_messages: true,
+            prior_calls: moved.clone(),
+            clock_advances: vec![100_000],
             ..scope(
-                "digests, an order",
-                &[both[0].clone(), both[1].clone()],
-                Left { ticks: 2, ..none },
+                "heartbeats, two updates",
+                &[at_a_and_b[0].clone(), at_a_and_b[1].clone()],
+                Budget { ticks: 2, ..none },
                 [10, 14],
             )
         },
--- a/crates/consensus/tests/model/shared.rs
+++ b/crates/consensus/tests/model/shared.rs
@@ -1,4 +1,4 @@
-//! Values that states share, and what is worked out once.
+//! Values shared between states, and memoized results.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashMap;
@@ -7,7 +7,7 @@
 use std::ops::Deref;
 use std::sync::{Arc, Mutex};
 
-/// A value with its hash beside it: states share what no step has touched.
+/// A reference-counted value with its precomputed hash. Successor states share the values that a step leaves unchanged.
 pub struct Shared<T>(pub u64, pub Arc<T>);
 
 impl<T: Hash> From<T> for Shared<T> {
@@ -45,10 +45,10 @@
 }
 
 impl<T: Hash + Clone> Shared<T> {
-    /// Changes it, for this state alone.
-    pub fn change<R>(&mut self, change: impl FnOnce(&mut T) -> R) -> R {
+    /// Replaces the value by a modified copy, so that other states keep theirs.
+    pub fn modify<R>(&mut self, modify: impl FnOnce(&mut T) -> R) -> R {
         let mut value = T::clone(self);
-        let result = change(&mut value);
+        let result = modify(&mut value);
         *self = value.into();
         result
     }
@@ -66,7 +66,7 @@
     hasher.finish()
 }
 
-/// What comes of the same once more. Two that differ and have one hash are taken for the same, as states are.
+/// A sharded cache of results, by the hash of their inputs. Inputs with equal hashes count as equal, as states do.
 #[derive(Debug)]
 pub struct Memo<T>(Vec<Mutex<HashMap<u64, T>>>);
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Another scope's begins empty.
+/// A clone starts empty: it belongs to another scope.
 impl<T> Clone for Memo<T> {
     fn clone(&self) -> Memo<T> {
         Memo::default()
@@ -84,13 +84,13 @@
 }
 
 impl<T: Clone> Memo<T> {
-    pub fn of(&self, key: u64, make: impl FnOnce() -> T) -> T {
-        let of = &self.0[key as usize % self.0.len()];
-        if let Some(known) = of.lock().expect("no panic").get(&key) {
-            return known.clone();
+    pub fn get_or_insert_with(&self, key: u64, make: impl FnOnce() -> T) -> T {
+        let shard = &self.0[key as usize % self.0.len()];
+        if let Some(cached) = shard.lock().expect("the lock is not poisoned").get(&key) {
+            return cached.clone();
         }
         let value = make();
-        of.lock().expect("no panic").insert(key, value.clone());
+        shard.lock().expect("the lock is not poisoned").insert(key, value.clone());
         value
     }
 }
--- a/crates/consensus/tests/model/trace.rs
+++ b/crates/consensus/tests/model/trace.rs
@@ -1,4 +1,4 @@
-//! How a step is shown in a trace.
+//! The text of a step in a trace.
 
 use std::fmt;
 
@@ -6,68 +6,87 @@
 use pinerelay_consensus::{Ballot, Batch, Member, Membership, Message};
 
 use crate::scope::Step;
-use crate::state::{letter, name};
+use crate::state::{letter, store_name};
 
-pub fn items(items: &[Item]) -> String {
+pub fn describe_items(items: &[Item]) -> String {
     let one = |i: &Item| {
-        let value = i.value.as_ref().map_or("dropped".into(), |v| String::from_utf8_lossy(v).into_owned());
+        let value = i.value.as_ref().map_or("deleted".into(), |v| String::from_utf8_lossy(v).into_owned());
         format!("{}@{} {value}", i.key.name, i.version.revision)
     };
     format!("[{}]", items.iter().map(one).collect::<Vec<_>>().join(", "))
 }
 
-pub fn members(membership: &Membership) -> String {
+pub fn describe_membership(membership: &Membership) -> String {
     let one = |m: &Member| {
-        let me = (0..16).find(|me| name(*me) == m.name).expect("a machine");
-        format!("{}{}", letter(me), m.incarnation)
+        let machine = (0..16).find(|machine| store_name(*machine) == m.name).expect("the name of a machine");
+        format!("{}{}", letter(machine), m.incarnation)
     };
     format!("{}:{}", membership.epoch, membership.members.iter().map(one).collect::<String>())
 }
 
-pub fn brief(batch: &Batch) -> String {
-    let change = batch.membership.as_ref().map_or(String::new(), |m| format!(" members {}", members(m)));
-    format!("{}{change}", items(&batch.items))
+pub fn describe_batch(batch: &Batch) -> String {
+    let change =
+        batch.membership.as_ref().map_or(String::new(), |m| format!(" members {}", describe_membership(m)));
+    format!("{}{change}", describe_items(&batch.items))
 }
 
 impl fmt::Debug for Step {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Step::Hear { said, again } => {
-                let again = if *again { " (and again later)" } else { "" };
-                write!(f, "{} hears {}: ", letter(said.to), letter(said.from))?;
-                let b = |ballot: &Ballot| format!("{}.{:02x}", ballot.round, ballot.proposer % 256);
-                match &said.word {
+            Step::Deliver { envelope, duplicate } => {
+                let suffix = if *duplicate { " (stays in flight)" } else { "" };
+                write!(f, "{} receives from {}: ", letter(envelope.to), letter(envelope.from))?;
+                let describe_ballot =
+                    |ballot: &Ballot| format!("{}.{:02x}", ballot.round, ballot.proposer % 256);
+                match &envelope.message {
                     Message::Prepare { ballot, membership, .. } => {
-                        write!(f, "Ask {} in epoch {}", b(ballot), membership.epoch)
+                        write!(f, "Prepare {} in epoch {}", describe_ballot(ballot), membership.epoch)
                     }
-                    Message::Promise { ballot, accepted: at, pending, items: item_set, .. } => {
-                        write!(f, "Promise {} at {}", b(ballot), b(at))?;
+                    Message::Promise { ballot, accepted, pending, items, .. } => {
+                        write!(
+                            f,
+                            "Promise {} accepted {}",
+                            describe_ballot(ballot),
+                            describe_ballot(accepted)
+                        )?;
                         if let Some(pending) = pending {
-                            write!(f, " pending {}", brief(pending))?;
+                            write!(f, " pending {}", describe_batch(pending))?;
                         }
-                        write!(f, " settled {}", items(item_set))
+                        write!(f, " committed {}", describe_items(items))
                     }
-                    Message::Reject { ballot, promised: higher } => {
-                        write!(f, "Deny {} for {}", b(ballot), b(higher))
+                    Message::Reject { ballot, promised } => {
+                        write!(f, "Reject {} promised {}", describe_ballot(ballot), describe_ballot(promised))
                     }
-                    Message::Accept { ballot, missing: fill, batch } => {
-                        write!(f, "Put {} {} fill {}", b(ballot), brief(batch), items(fill))
+                    Message::Accept { ballot, missing, batch } => {
+                        write!(
+                            f,
+                            "Accept {} {} missing {}",
+                            describe_ballot(ballot),
+                            describe_batch(batch),
+                            describe_items(missing)
+                        )
                     }
-                    Message::Accepted { ballot, .. } => write!(f, "PersistentState {}", b(ballot)),
+                    Message::Accepted { ballot, .. } => write!(f, "Accepted {}", describe_ballot(ballot)),
                     Message::Commit { ballot, batch, .. } => {
-                        write!(f, "Settle {} {}", b(ballot), brief(batch))
+                        write!(f, "Commit {} {}", describe_ballot(ballot), describe_batch(batch))
+                    }
+                    Message::NewMembership(membership) => {
+                        write!(f, "NewMembership {}", describe_membership(membership))
                     }
-                    Message::NewMembership(membership) => write!(f, "Members {}", members(membership)),
                     other => write!(f, "{other:?}"),
                 }?;
-                write!(f, "{again}")
+                write!(f, "{suffix}")
             }
             Step::Sync(me) => write!(f, "{} syncs", letter(*me)),
-            Step::Crash(me, kept) => write!(f, "{} ends, {kept} unsynced writes kept", letter(*me)),
+            Step::Crash(me, synced) => {
+                write!(f, "{} crashes, {synced} unsynced writes become durable", letter(*me))
+            }
             Step::Wipe(me) => write!(f, "{} loses its disk", letter(*me)),
             Step::Start(me) => write!(f, "{} starts", letter(*me)),
             Step::Call(n) => write!(f, "call {n}"),
-            Step::Tick(me, jump) => write!(f, "{} ms pass at {}", jump / 1_000, letter(*me)),
+            Step::Tick(me, advance) => {
+                write!(f, "{} ms pass at {}", advance / 1_000, letter(*me))
+            }
         }
     }
 }
--- a/crates/consensus/tests/model/transitions.rs
+++ b/crates/consensus/tests/model/transitions.rs
@@ -1,4 +1,4 @@
-//! The steps of a state, and the state after each.
+//! The transition relation: the steps that are enabled in a state, and the state after each.
 
 use std::collections::BTreeMap;
 
@@ -8,148 +8,154 @@
 use crate::properties;
 use crate::scope::{Defect, Scope, Step};
 use crate::shared::hash_of;
-use crate::state::{name, Machine, World};
+use crate::state::{store_name, Machine, SystemState};
 
 impl Model for Scope {
-    type State = World;
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<SystemState> {
         let machine = Machine {
             disk: None.into(),
-            unwritten: Vec::new(),
+            unsynced_writes: Vec::new(),
             store: None,
-            life: 0,
+            process_id: 0,
             now: 0,
-            told: Vec::new(),
-            waits: Vec::new(),
-            lost: 0,
+            heartbeats_sent: Vec::new(),
+            deferred_prepares: Vec::new(),
+            acknowledged_at_wipe: 0,
         };
-        let mut world = World {
-            machines: vec![machine.into(); self.cores],
-            wire: Vec::new(),
-            left: self.left,
-            made: 0,
-            open: Vec::new(),
-            known: 0,
+        let mut state = SystemState {
+            machines: vec![machine.into(); self.machine_count],
+            network: Vec::new(),
+            budget: self.budget,
+            issued: 0,
+            open_calls: Vec::new(),
+            observed: 0,
             acknowledged: 0,
-            refused: 0,
-            epochs: BTreeMap::from([(1, Membership::first((0..self.voters).map(name)))]).into(),
-            wrong: None,
+            rejected: 0,
+            epochs: BTreeMap::from([(1, Membership::first((0..self.voters).map(store_name)))]).into(),
+            violation: None,
         };
-        for me in 0..self.cores {
-            self.start(&mut world, me, me < self.voters);
-            while !world.machines[me].unwritten.is_empty() {
-                self.sync(&mut world, me);
+        for me in 0..self.machine_count {
+            self.start(&mut state, me, me < self.voters);
+            while !state.machines[me].unsynced_writes.is_empty() {
+                self.sync(&mut state, me);
             }
         }
         for &(me, synced) in &self.restarted {
-            self.end(&mut world, me);
-            self.start(&mut world, me, false);
-            while synced && !world.machines[me].unwritten.is_empty() {
-                self.sync(&mut world, me);
+            self.stop(&mut state, me);
+            self.start(&mut state, me, false);
+            while synced && !state.machines[me].unsynced_writes.is_empty() {
+                self.sync(&mut state, me);
             }
         }
-        for before in &self.already {
-            self.before(&mut world, before);
+        for prior_call in &self.prior_calls {
+            self.make_prior_call(&mut state, prior_call);
         }
-        self.off.iter().for_each(|&me| self.end(&mut world, me));
-        vec![world]
+        self.stopped.iter().for_each(|&me| self.stop(&mut state, me));
+        vec![state]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
         let mut last = None;
-        for said in &world.wire {
-            if last != Some(said) && world.machines[said.to].store.is_some() {
-                steps.push(Step::Hear { said: said.clone(), again: false });
-                if world.left.doubles > 0 {
-                    steps.push(Step::Hear { said: said.clone(), again: true });
+        for envelope in &state.network {
+            if last != Some(envelope) && state.machines[envelope.to].store.is_some() {
+                steps.push(Step::Deliver { envelope: envelope.clone(), duplicate: false });
+                if state.budget.duplications > 0 {
+                    steps.push(Step::Deliver { envelope: envelope.clone(), duplicate: true });
                 }
             }
-            last = Some(said);
+            last = Some(envelope);
         }
-        for (me, machine) in world.machines.iter().enumerate() {
+        for (me, machine) in state.machines.iter().enumerate() {
             if machine.store.is_none() {
-                if !self.off.contains(&me) {
+                if !self.stopped.contains(&me) {
                     steps.push(Step::Start(me));
                 }
                 continue;
             }
-            if !machine.unwritten.is_empty() {
+            if !machine.unsynced_writes.is_empty() {
                 steps.push(Step::Sync(me));
             }
-            if world.left.ticks > 0 {
-                steps.extend(self.jumps.iter().map(|&jump| Step::Tick(me, jump)));
+            if state.budget.ticks > 0 {
+                steps.extend(self.clock_advances.iter().map(|&advance| Step::Tick(me, advance)));
             }
-            if world.left.crashes > 0 {
-                steps.extend((0..=machine.unwritten.len()).map(|on_disk| Step::Crash(me, on_disk)));
+            if state.budget.crashes > 0 {
+                steps.extend((0..=machine.unsynced_writes.len()).map(|synced| Step::Crash(me, synced)));
             }
-            if world.left.wipes > 0 && world.lost() == 0 {
+            if state.budget.wipes > 0 && state.lost_disks() == 0 {
                 steps.push(Step::Wipe(me));
             }
         }
         let running = |(n, (at, _)): &(usize, &(usize, Request))| {
-            world.made & (1 << n) == 0 && world.machines[*at].store.is_some()
+            state.issued & (1 << n) == 0 && state.machines[*at].store.is_some()
         };
         steps.extend(self.calls.iter().enumerate().filter(running).map(|(n, _)| Step::Call(n)));
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = previous.clone();
         match step {
-            Step::Hear { said, again } => {
-                if again {
-                    world.left.doubles -= 1;
+            Step::Deliver { envelope, duplicate } => {
+                if duplicate {
+                    state.budget.duplications -= 1;
                 } else {
-                    let at = world.wire.iter().position(|s| *s == said)?;
-                    world.wire.remove(at);
+                    let at = state.network.iter().position(|s| *s == envelope)?;
+                    state.network.remove(at);
                 }
-                let (before, on_way) = (world.machines[said.to].clone(), world.wire.len());
-                self.hears(&mut world, &said);
-                // A word without effect may as well stay on its way.
-                if world.machines[said.to] == before && world.wire.len() == on_way && world.open == last.open
+                let (before, network_len) = (state.machines[envelope.to].clone(), state.network.len());
+                self.deliver(&mut state, &envelope);
+                // Without an effect the message may as well stay in flight.
+                if state.machines[envelope.to] == before
+                    && state.network.len() == network_len
+                    && state.open_calls == previous.open_calls
                 {
                     return None;
                 }
             }
-            Step::Sync(me) => self.sync(&mut world, me),
-            Step::Crash(me, on_disk) => {
-                world.left.crashes -= 1;
-                world.machines[me].change(|machine| (0..on_disk).for_each(|_| _ = machine.sync(&self.disks)));
-                self.end(&mut world, me);
+            Step::Sync(me) => self.sync(&mut state, me),
+            Step::Crash(me, synced) => {
+                state.budget.crashes -= 1;
+                state.machines[me].modify(|machine| (0..synced).for_each(|_| _ = machine.sync(&self.disks)));
+                self.stop(&mut state, me);
             }
             Step::Wipe(me) => {
-                world.left.wipes -= 1;
-                self.end(&mut world, me);
-                let lost = world.acknowledged;
-                world.machines[me].change(|machine| (machine.disk, machine.lost) = (None.into(), lost));
+                state.budget.wipes -= 1;
+                self.stop(&mut state, me);
+                let acknowledged = state.acknowledged;
+                state.machines[me].modify(|machine| {
+                    (machine.disk, machine.acknowledged_at_wipe) = (None.into(), acknowledged)
+                });
             }
-            Step::Start(me) => self.start(&mut world, me, false),
+            Step::Start(me) => self.start(&mut state, me, false),
             Step::Call(n) => {
-                world.made |= 1 << n;
-                let known = world.known;
-                world.open.push((n, known));
+                state.issued |= 1 << n;
+                let observed = state.observed;
+                state.open_calls.push((n, observed));
                 let (me, request) = &self.calls[n];
-                if let (Some(Defect::LeavesOutOldMembers), Request::ChangeMembership(next)) =
+                if let (Some(Defect::BypassesOldQuorum), Request::ChangeMembership(next)) =
                     (self.defect, request)
                 {
-                    let next =
-                        || Input::Message { from: name(*me), message: Message::NewMembership(next.clone()) };
-                    self.give(&mut world, *me, hash_of(("change", n)), next);
-                    return Some(world);
+                    let next = || Input::Message {
+                        from: store_name(*me),
+                        message: Message::NewMembership(next.clone()),
+                    };
+                    self.apply_input(&mut state, *me, hash_of(("change", n)), next);
+                    return Some(state);
                 }
-                self.give(&mut world, *me, hash_of(("call", n)), || Input::Request {
+                self.apply_input(&mut state, *me, hash_of(("call", n)), || Input::Request {
                     id: n as u64,
                     request: request.clone(),
                 });
             }
-            Step::Tick(me, jump) => {
-                world.left.ticks -= 1;
-                world.machines[me].change(|machine| machine.now += jump);
-                self.give(&mut world, me, hash_of("tick"), || Input::Tick);
+            Step::Tick(me, advance) => {
+                state.budget.ticks -= 1;
+                state.machines[me].modify(|machine| machine.now += advance);
+                self.apply_input(&mut state, me, hash_of("tick"), || Input::Tick);
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
