--- a/crates/decisions/src/control/choice.rs
+++ b/crates/decisions/src/control/choice.rs
@@ -1,266 +1,264 @@
-//! Server choice: the list of app servers, their health, cold starts, and which one gets an attempt.
+//! Load balancing: the server list, server health, slow start of cold servers, and the choice of a server.
 
 use super::overload::MEAN_SPAN;
 use super::{
-    lot, Action, BTreeMap, Bucket, Controller, Effect, Group, ListKind, Member, MemberState, Micros, Rate,
-    RequestId, Server, ServerId, Tally, DONE_SPAN, PLANS, RATE_SPAN, TALLY_SPAN,
+    lot, Action, BTreeMap, Bucket, Controller, DecayingMean, Effect, Group, ListKind, Member, MemberState,
+    Micros, Rate, RequestId, Server, ServerId, DONE_SPAN, FAIL_SPAN, PLAN_KINDS, RATE_SPAN,
 };
 use crate::ring;
 
-/// First ejection of a suspect server; doubles up to the last.
+/// Duration of a server's first ejection; it doubles with each one up to the maximum.
 const EJECT: Micros = 400_000;
 const EJECT_MAX: Micros = 6_400_000;
-/// A cold server no slower than warm ones usually are gets this much over its sure share; far under the fall
-/// multiple.
+/// Factor on the guaranteed warmth of a cold server that is as fast as warm ones; far below `fall_multiple`.
 const COLD_PACE: f64 = 1.5;
-/// What a cold server may take, in its part of what is sent: the part is by the least that it can do.
-const COLD_ROOM: f64 = 2.0;
-/// A cold server whose part is saved up is taken by so much more readily. Danger: drawn by its part and held
-/// to its part, it gets less.
-const COLD_DRAWN: f64 = 1.4;
-/// Where no server is warm, what they are sent may grow by this much over what they answer.
-const COLD_GROWTH: f64 = 1.5;
-/// What they get of what warm ones carried while they answer nothing. Danger: those that come back may be
-/// smaller, and with more than they can do none answers in time to tell.
-const COLD_UNHEARD: f64 = 0.25;
-/// Smoothing of what a warm server carries: over minutes of a rush, and little of a crash's last moments.
-const CARRY_SPAN: f64 = 15.0e6;
-/// From how many attempts out at each server on own counts outweigh the lot. Danger: where a node sees less
-/// than that, all take the fastest few servers until these are full.
-const SEEN: f64 = 0.12;
-/// A server in good standing that has answered nothing for so long, and for so many times what passes between
-/// two requests of this node to one server, gets the next request.
-const UNHEARD: Micros = 2_000_000;
-const UNHEARD_TURNS: f64 = 4.0;
-/// How much a sure failure adds to a server's cost.
+/// What a cold server may get relative to its share of what is sent, which is by its guaranteed capacity.
+const COLD_HEADROOM: f64 = 2.0;
+/// Preference for a cold server that may take a request: chosen by its share and limited to it, it gets less.
+const COLD_BOOST: f64 = 1.4;
+/// Where no server is warm, the rate sent may exceed the rate answered by this factor.
+const GROWTH: f64 = 1.5;
+/// Share of the former warm rate that they get at least, also while they answer nothing. They may be smaller
+/// than before, and an overloaded one answers nothing in time.
+const COLD_MIN: f64 = 0.25;
+/// Time constant of the warm rate: it averages over a rush, and takes in little of a crash's last moments.
+const WARM_SPAN: f64 = 15.0e6;
+/// Pending attempts per server from which on the node's own counts outweigh the random draw. Without the draw
+/// all nodes with fewer would take the same few fastest servers until these are full.
+const INFORMED_AT: f64 = 0.12;
+/// A healthy server that has answered nothing for this long, and for this many mean intervals between this
+/// node's requests to one server, gets the next request.
+const STALE_AFTER: Micros = 2_000_000;
+const STALE_INTERVALS: f64 = 4.0;
+/// What a certain failure adds to a server's cost.
 const FAIL_COST: f64 = 10.0;
-/// A server that fails more than this share of a kind is not sound.
-const FAILS: f64 = 0.1;
+/// A server with a larger share of failures of one kind is not sound.
+const FAIL_MAX: f64 = 0.1;
 
 impl Controller {
     pub(super) fn on_members(&mut self, kind: ListKind, entries: Vec<Member>, out: &mut Vec<Action>) {
         let now = self.now;
-        if kind == ListKind::Stale || (kind == ListKind::Lost && self.set.list_on_request) {
-            // Danger: an old list after a restart names dead servers and hides cold ones. Ask anew.
-            out.push(if self.set.list_on_request { Action::WatchList } else { Action::FetchList });
+        if kind == ListKind::Stale || (kind == ListKind::Lost && self.settings.list_on_request) {
+            // A list stored before a restart may name dead servers and miss new ones, which are cold.
+            out.push(if self.settings.list_on_request { Action::WatchList } else { Action::FetchList });
         }
         if kind == ListKind::Lost {
             return;
         }
         if kind != ListKind::Changes {
-            self.servers.values_mut().for_each(|s| (s.listed, s.gone) = (false, true));
+            self.servers.values_mut().for_each(|s| (s.listed, s.removed) = (false, true));
         }
         for m in entries {
-            // Danger: a whole request for free at each of a hundred nodes pushes a cold server over at once.
-            let slow = Bucket { store: lot(&mut self.random), at: now };
+            // A random part: with a whole request each a hundred nodes would overload a cold server at once.
+            let slow_start = Bucket { store: lot(&mut self.random), at: now };
             let (started, latency) = (m.started, self.latency);
-            let known = self.recalled.remove(&m.server);
-            let (latency, tally) = known.unwrap_or((latency, BTreeMap::new()));
-            let new = || Server { started, latency, tally, heard: now, slow, ..Server::default() };
+            let known = self.restored.remove(&m.server);
+            let (latency, failures) = known.unwrap_or((latency, BTreeMap::new()));
+            let new = || Server { started, latency, failures, seen_at: now, slow_start, ..Server::default() };
             let s = self.servers.entry(m.server).or_insert_with(new);
             (s.zone, s.cell) = (m.zone, m.cell);
             s.size = if m.weight.is_finite() && m.weight > 0.0 { m.weight } else { 1.0 };
             s.listed = m.state == MemberState::In;
-            s.gone = m.state == MemberState::Out;
+            s.removed = m.state == MemberState::Out;
             if m.started > s.started {
-                (s.started, s.strikes, s.breaks, s.ejected) = (m.started, 0, 0, 0);
-                (s.slow, s.latency) = (slow, self.latency);
+                (s.started, s.ejects, s.resets, s.eject_end) = (m.started, 0, 0, 0);
+                (s.slow_start, s.latency) = (slow_start, self.latency);
             }
         }
-        self.arrange();
+        self.rebuild_ring();
         self.measure_warm();
-        self.forget();
+        self.evict_idle();
     }
 
-    /// Puts the listed servers in the order in which this node turns to them.
-    pub(super) fn arrange(&mut self) {
+    /// Orders the listed servers by this node's preference.
+    pub(super) fn rebuild_ring(&mut self) {
         let listed = self.servers.iter().filter(|(_, s)| s.listed);
         let listed = listed.map(|(&key, s)| (key, s.zone, s.size));
-        self.ring = ring::ring(self.set.me, self.set.nodes, listed);
-        self.keep_to();
+        self.ring = ring::ring(self.settings.me, self.settings.nodes, listed);
+        self.update_subset();
     }
 
-    /// Takes the first on the ring for those that this node keeps to, by what it sends. Danger: a hundred
-    /// nodes that each send to sixty servers open thousands of connections, and none sees which are busy.
-    pub(super) fn keep_to(&mut self) {
-        let (now, age) = (self.now, self.now.saturating_sub(self.begun) as f64 / RATE_SPAN);
-        let rate = self.sends.get(now, RATE_SPAN) / (1.0 - (-age).exp()).max(0.1);
+    /// Sizes this node's subset, the first servers on the ring, by its send rate. A hundred nodes that each
+    /// send to sixty servers would open thousands of connections, and none would see which servers are busy.
+    pub(super) fn update_subset(&mut self) {
+        let (now, age) = (self.now, self.now.saturating_sub(self.first_event_at) as f64 / RATE_SPAN);
+        let rate = self.send_rate.get(now, RATE_SPAN) / (1.0 - (-age).exp()).max(0.1);
         if rate > self.peak.get(now, ring::PEAK_SPAN) {
             self.peak = Rate { value: rate, at: now };
         }
-        self.reach = ring::reach(self.peak.get(now, ring::PEAK_SPAN), self.usual).min(self.ring.len());
-        self.servers.values_mut().for_each(|s| s.near = false);
-        for key in &self.ring[..self.reach] {
-            self.servers.get_mut(key).into_iter().for_each(|s| s.near = true);
+        self.subset_size =
+            ring::subset_size(self.peak.get(now, ring::PEAK_SPAN), self.base).min(self.ring.len());
+        self.servers.values_mut().for_each(|s| s.in_subset = false);
+        for key in &self.ring[..self.subset_size] {
+            self.servers.get_mut(key).into_iter().for_each(|s| s.in_subset = true);
         }
     }
 
-    /// Looks whether a server is past its cold start for sure, and what such a one carries for this node and
-    /// how long its answers take. What it carries is told by answers: what is sent doubles as servers die,
-    /// and falls on the last that is listed.
+    /// Updates whether a server is surely warm, and the rate and latency of warm servers. The rate is that of
+    /// answers: the rate sent doubles as servers die, and goes to the last that is listed.
     pub(super) fn measure_warm(&mut self) {
-        let (now, cold) = (self.now, self.set.rules.cold);
+        let (now, cold) = (self.now, self.settings.rules.cold);
         let warm = |s: &&Server| s.started == 0 || now >= s.started.saturating_add(cold);
         self.any_warm = self.servers.values().filter(|s| s.listed).any(|s| warm(&s));
-        // One that fails what it is sent gets next to nothing, and tells nothing of what a sound one carries.
-        let sound =
-            |s: &&Server| self.well(s) && s.tally.values().all(|t| t.mean(now, 0.0, TALLY_SPAN) < FAILS);
-        let sum = |(size, done), s: &Server| (size + s.size, done + s.done.get(now, DONE_SPAN));
-        let near = self.servers.values().filter(|s| s.near);
-        let (size, done) = near.filter(warm).filter(sound).fold((0.0, 0.0), sum);
-        let span = (now.saturating_sub(self.carried.at) as f64).min(CARRY_SPAN);
-        self.carried.at = now;
-        // Until rates have settled they tell of too little, and until it has measured for long a mean that
-        // fades tells of what it began with.
-        if size > 0.0 && now > self.begun + 2 * DONE_SPAN as Micros {
-            self.measured += span;
-            let gain = (1.0 - (-span / CARRY_SPAN).exp()).max(span / self.measured.max(1.0));
-            self.carried.value += (done / size - self.carried.value) * gain;
-            let slowed = self.slowed();
-            self.usual += (self.times.mean(now, self.usual * slowed, MEAN_SPAN) / slowed - self.usual) * gain;
+        // A failing server gets almost no requests, and so shows nothing of what a sound one can answer.
+        let sound = |s: &&Server| {
+            self.healthy(s) && s.failures.values().all(|t| t.mean(now, 0.0, FAIL_SPAN) < FAIL_MAX)
+        };
+        let sum = |(size, answers), s: &Server| (size + s.size, answers + s.answers.get(now, DONE_SPAN));
+        let in_subset = self.servers.values().filter(|s| s.in_subset);
+        let (size, answers) = in_subset.filter(warm).filter(sound).fold((0.0, 0.0), sum);
+        let span = (now.saturating_sub(self.warm_rate.at) as f64).min(WARM_SPAN);
+        self.warm_rate.at = now;
+        // Rates are too low until they have settled; and a decaying mean shows its initial value until it has
+        // been measured for long, so at first all samples weigh the same.
+        if size > 0.0 && now > self.first_event_at + 2 * DONE_SPAN as Micros {
+            self.warm_measured_for += span;
+            let gain = (1.0 - (-span / WARM_SPAN).exp()).max(span / self.warm_measured_for.max(1.0));
+            self.warm_rate.value += (answers / size - self.warm_rate.value) * gain;
+            let factor = self.cold_slowdown();
+            self.base += (self.recent.mean(now, self.base * factor, MEAN_SPAN) / factor - self.base) * gain;
         }
     }
 
-    /// What this node sends a second to a warm server of size 1, in the mean, or what a sound one has
-    /// carried, with the room that cold ones have beyond their sure part. Danger: where warm ones fail, all
-    /// that cold ones are not given goes to these. Danger: a fleet that is cold as a whole (after a power
-    /// cut) has no warm one to tell, and a part of next to nothing is nothing: it would idle until it is warm
-    /// by the clock. There it is what a warm one carried last, or, at all nodes together, one request after
-    /// the other, or a little more than is answered now. It does harm where the servers that come back are
-    /// some times smaller than before.
-    pub(super) fn per_server(&self) -> f64 {
+    /// The basis of cold servers' shares, in requests per second to a warm server of size 1: the mean rate
+    /// sent or the warm rate (where warm servers fail they get what cold ones are not given), times
+    /// `COLD_HEADROOM`. With no warm server (after a power cut) shares of almost nothing would leave the
+    /// fleet idle until it is warm by age: there it is the last warm rate, one request after the other over
+    /// all nodes, or a little more than is answered now. It overloads servers that return much smaller.
+    pub(super) fn server_rate(&self) -> f64 {
         let listed = self.servers.values().filter(|s| s.listed);
         if self.any_warm {
             let warmth: f64 = listed.map(|s| self.warmth(s) * s.size).sum();
-            let mean = self.sends.get(self.now, RATE_SPAN) / warmth.max(1.0) * self.parts();
-            return mean.max(self.carried.value) * COLD_ROOM;
+            let mean = self.send_rate.get(self.now, RATE_SPAN) / warmth.max(1.0) * self.parts();
+            return mean.max(self.warm_rate.value) * COLD_HEADROOM;
         }
-        let sum = |(w, d), s: &Server| (w + self.warmth(s) * s.size, d + s.done.get(self.now, DONE_SPAN));
-        let (warmth, done) = listed.fold((0.0, 0.0), sum);
-        let in_turn = 1e6 / (self.latency * f64::from(self.set.nodes.max(1))) * self.parts();
-        let heard = ((done + 1.0) / (self.sends.get(self.now, RATE_SPAN) + 1.0)).clamp(COLD_UNHEARD, 1.0);
-        (done / warmth.max(0.05) * self.parts() * COLD_GROWTH).max(self.carried.value * heard).max(in_turn)
+        let sum = |(w, n), s: &Server| (w + self.warmth(s) * s.size, n + s.answers.get(self.now, DONE_SPAN));
+        let (warmth, answers) = listed.fold((0.0, 0.0), sum);
+        let in_turn = 1e6 / (self.latency * f64::from(self.settings.nodes.max(1))) * self.parts();
+        let served = ((answers + 1.0) / (self.send_rate.get(self.now, RATE_SPAN) + 1.0)).clamp(COLD_MIN, 1.0);
+        (answers / warmth.max(0.05) * self.parts() * GROWTH).max(self.warm_rate.value * served).max(in_turn)
     }
 
-    /// How many nodes there are for each that keeps to a server.
+    /// The number of subsets that the ring holds: one node in so many uses a given server.
     fn parts(&self) -> f64 {
-        self.ring.len() as f64 / self.reach.max(1) as f64
+        self.ring.len() as f64 / self.subset_size.max(1) as f64
     }
 
-    /// The share of its capacity that a server surely has by now. To be no slower than a fleet that is cold
-    /// as a whole tells nothing.
+    /// The share of capacity that a server has by now at least. Its speed shows nothing where all are cold.
     pub(super) fn warmth(&self, s: &Server) -> f64 {
-        let rules = &self.set.rules;
+        let rules = &self.settings.rules;
         if s.started == 0 || rules.cold == 0 {
             return 1.0;
         }
         let age = self.now.saturating_sub(s.started) as f64 / rules.cold as f64;
-        let pace = if self.any_warm && s.latency < self.usual { COLD_PACE } else { 1.0 };
+        let pace = if self.any_warm && s.latency < self.base { COLD_PACE } else { 1.0 };
         (pace * (rules.cold_from + (1.0 - rules.cold_from) * age)).min(1.0)
     }
 
-    /// An attempt out for longer than this is past what such a server needs. Danger: a cold one takes some
-    /// times as long; given up before it could answer, none would ever tell how long that is.
-    pub(super) fn overdue(&self, s: &Server) -> f64 {
+    /// The time after which an attempt at a server is overdue, in microseconds. A cold server takes several
+    /// times as long: cancelled before it could answer, no attempt would ever show how long.
+    pub(super) fn overdue_after(&self, s: &Server) -> f64 {
         (self.latency + 4.0 * self.deviation) / self.warmth(s).max(0.05)
     }
 
-    /// Silence while others answer, by the oldest attempt out since the last ejection. Danger: what hung
-    /// before, and may not be sent again, would keep a server shut long after it has recovered.
+    /// Whether a server's oldest attempt since its last ejection is overdue without any answer meanwhile. One
+    /// from before it that hangs, and may not be retried, would keep a recovered server out.
     pub(super) fn silent(&self, s: &Server) -> bool {
-        let Some(&oldest) = s.out.iter().find(|&&sent| sent >= s.ejected) else { return false };
-        let since = self.now.saturating_sub(oldest.max(s.heard)) as f64;
-        since > self.overdue(s) * if s.out.len() > 2 { 1.0 } else { 2.0 }
+        let Some(&oldest) = s.in_flight.iter().find(|&&sent| sent >= s.eject_end) else { return false };
+        let since = self.now.saturating_sub(oldest.max(s.seen_at)) as f64;
+        since > self.overdue_after(s) * if s.in_flight.len() > 2 { 1.0 } else { 2.0 }
     }
 
-    /// Whether a server answers, and about as fast as the others.
-    pub(super) fn well(&self, s: &Server) -> bool {
-        s.strikes == 0 && s.latency < 2.0 * self.latency && !self.silent(s)
+    /// Whether a server answers, at less than twice the mean latency.
+    pub(super) fn healthy(&self, s: &Server) -> bool {
+        s.ejects == 0 && s.latency < 2.0 * self.latency && !self.silent(s)
     }
 
-    /// How many attempts a server is at. Danger: what hung before the last ejection, and what got lost while
-    /// later attempts were answered, stays out until its client gives up; one or two look like a full fleet.
-    /// It does harm where single requests work for much longer than others: these are not seen.
-    pub(super) fn working(&self, s: &Server) -> usize {
-        let lost = s.answered.saturating_sub(self.overdue(s) as Micros);
-        s.out.iter().filter(|&&sent| sent >= s.ejected && sent >= lost).count()
+    /// The number of attempts that a server is working on. Attempts that hung before its last ejection, or
+    /// were lost while later ones were answered, stay pending until the client gives up; one or two would
+    /// look like overload. The price: a request that takes much longer than others is not counted.
+    pub(super) fn active_count(&self, s: &Server) -> usize {
+        let lost = s.newest_answered.saturating_sub(self.overdue_after(s) as Micros);
+        s.in_flight.iter().filter(|&&sent| sent >= s.eject_end && sent >= lost).count()
     }
 
-    /// After how long without an answer what is known of a server is old.
-    pub(super) fn hush(&self) -> Micros {
-        let turn = self.reach as f64 / self.sends.get(self.now, RATE_SPAN).max(1e-3) * 1e6;
-        UNHEARD.max((UNHEARD_TURNS * turn) as Micros)
+    /// The time without an answer after which what is known of a server is stale.
+    pub(super) fn stale_after(&self) -> Micros {
+        let interval = self.subset_size as f64 / self.send_rate.get(self.now, RATE_SPAN).max(1e-3) * 1e6;
+        STALE_AFTER.max((STALE_INTERVALS * interval) as Micros)
     }
 
-    /// The server where an attempt should do best, or none that may take it.
-    pub(super) fn choose(&mut self, id: &RequestId, not: Option<ServerId>) -> Option<ServerId> {
-        let r = self.requests.get(id)?;
-        let class = &self.set.classes[r.class];
-        let bound = r.ran.map(|(_, place)| place);
-        let per_server = self.per_server();
+    /// The best server for an attempt, if any may take it. `except` is passed over.
+    pub(super) fn choose(&mut self, id: &RequestId, except: Option<ServerId>) -> Option<ServerId> {
+        let request = self.requests.get(id)?;
+        let class = &self.settings.classes[request.class];
+        let bound_to = request.first_run.map(|(_, location)| location);
+        let server_rate = self.server_rate();
         let safe = class.effect == Effect::Safe;
-        // Danger: a node with next to nothing out would always take the largest server. The less its own
-        // counts tell, the more the lot decides: exponential, so that servers are drawn by their size.
-        let held: usize = self.servers.values().map(|s| s.out.len()).sum();
-        let blind = 1.0 / (1.0 + (held as f64 / self.reach.max(1) as f64 / SEEN).powi(2));
+        // With almost nothing pending a node would always take the largest server. The less is pending, the
+        // more a random draw decides: exponential, so that servers are drawn in proportion to size.
+        let pending: usize = self.servers.values().map(|s| s.in_flight.len()).sum();
+        let noise = 1.0 / (1.0 + (pending as f64 / self.subset_size.max(1) as f64 / INFORMED_AT).powi(2));
         let now = self.now;
-        let hush = self.hush();
-        let common = |kind| (kind, self.tally.get(&kind).map_or(0.0, |t| t.mean(now, 0.0, TALLY_SPAN)));
-        let kinds = [r.class, PLANS + r.plan].map(common);
+        let stale_after = self.stale_after();
+        let common = |kind| (kind, self.failures.get(&kind).map_or(0.0, |t| t.mean(now, 0.0, FAIL_SPAN)));
+        let kinds = [request.class, PLAN_KINDS + request.plan].map(common);
         let failing = kinds.iter().any(|k| k.1 > 0.01);
         let mut best: Option<(bool, f64, ServerId)> = None;
-        let mut open = 0;
+        let mut available = 0;
         for &key in &self.ring {
             let Some(s) = self.servers.get(&key) else { continue };
-            let in_group = match (class.effect, class.group, bound) {
+            let in_group = match (class.effect, class.group, bound_to) {
                 (Effect::Keyed, Group::Zone, Some((zone, _))) => s.zone == zone,
                 (Effect::Keyed, Group::Cell, Some((_, cell))) => s.cell == cell,
                 _ => true,
             };
             let warmth = self.warmth(s);
-            // Danger: a cold one gets its part from those that keep to it, and no more from others.
-            if !in_group || Some(key) == not || (warmth < 1.0 && !s.near) {
+            // A cold server gets its share from the nodes whose subset includes it, and nothing from others.
+            if !in_group || Some(key) == except || (warmth < 1.0 && !s.in_subset) {
                 continue;
             }
-            // Danger: a cold server pushed over. This node's 1/n part of the guaranteed share, counted in
-            // what it sends a warm one, is all it gets.
-            let span = self.now.saturating_sub(s.slow.at) as f64 / 1e6;
-            if warmth < 1.0 && s.slow.store + per_server * warmth * s.size * span < 1.0 {
+            // Against overload a cold server gets only this node's 1/n part of its guaranteed capacity.
+            let span = self.now.saturating_sub(s.slow_start.at) as f64 / 1e6;
+            if warmth < 1.0 && s.slow_start.store + server_rate * warmth * s.size * span < 1.0 {
                 continue;
             }
-            let closed = s.ejected > self.now || self.silent(s);
-            if !closed && s.strikes > 0 && (!safe || s.out.back().is_some_and(|&sent| sent >= s.ejected)) {
+            let down = s.eject_end > self.now || self.silent(s);
+            if !down && s.ejects > 0 && (!safe || s.in_flight.back().is_some_and(|&sent| sent >= s.eject_end))
+            {
                 continue;
             }
-            let load = s.out.iter().filter(|&&sent| sent >= s.ejected).count() as f64;
+            let load = s.in_flight.iter().filter(|&&sent| sent >= s.eject_end).count() as f64;
             let slowness = (s.latency / self.latency).clamp(0.25, 4.0);
-            let lot = -(1.0 - lot(&mut self.random)).ln();
-            let saved = if warmth < 1.0 { 1.0 + COLD_DRAWN } else { 1.0 };
-            let cost = slowness * (load + 1.0 - blind + blind * lot) / (s.size * warmth.max(0.05) * saved);
-            let far = if s.zone == self.set.zone { 1.0 } else { 1.0 + 2.0 * self.set.cross_zone_price };
-            let share = |t: &Tally, prior| t.mean(now, prior, TALLY_SPAN);
-            let risk = |(kind, prior)| s.tally.get(&kind).map_or(prior, |t| share(t, prior));
-            let fails = if failing { kinds.map(risk).into_iter().fold(0.0, f64::max) } else { 0.0 };
-            // Danger: one that was slow, or is cold, is passed over for good while others have room. But a
-            // node that sends little hears of all rarely, and a hundred such would take the same one at once.
-            let sound = !closed && s.strikes == 0 && fails < FAILS;
-            let unheard = sound && s.out.is_empty() && now > s.heard + hush;
-            let cost = cost * far * (1.0 + FAIL_COST * fails).powi(2);
-            let cost = if unheard { cost * 1e-6 } else { cost };
-            if best.is_none_or(|(c, b, _)| (closed, cost) < (c, b)) {
-                best = Some((closed, cost, key));
+            let draw = -(1.0 - lot(&mut self.random)).ln();
+            let boost = if warmth < 1.0 { 1.0 + COLD_BOOST } else { 1.0 };
+            let cost = slowness * (load + 1.0 - noise + noise * draw) / (s.size * warmth.max(0.05) * boost);
+            let far =
+                if s.zone == self.settings.zone { 1.0 } else { 1.0 + 2.0 * self.settings.cross_zone_price };
+            let share = |t: &DecayingMean, prior| t.mean(now, prior, FAIL_SPAN);
+            let risk = |(kind, prior)| s.failures.get(&kind).map_or(prior, |t| share(t, prior));
+            let failure_share = if failing { kinds.map(risk).into_iter().fold(0.0, f64::max) } else { 0.0 };
+            // A server that was slow, or is cold, would never be tried again while others have capacity. By a
+            // fixed time alone a hundred nodes that send little would all try the same one at once.
+            let sound = !down && s.ejects == 0 && failure_share < FAIL_MAX;
+            let is_stale = sound && s.in_flight.is_empty() && now > s.seen_at + stale_after;
+            let cost = cost * far * (1.0 + FAIL_COST * failure_share).powi(2);
+            let cost = if is_stale { cost * 1e-6 } else { cost };
+            if best.is_none_or(|(u, least, _)| (down, cost) < (u, least)) {
+                best = Some((down, cost, key));
             }
-            open += usize::from(!closed);
-            if open >= self.reach {
+            available += usize::from(!down);
+            if available >= self.subset_size {
                 break;
             }
         }
         best.map(|(_, _, key)| key)
     }
 
-    pub(super) fn strike(&mut self, key: ServerId) {
-        let Some(s) = self.servers.get_mut(&key).filter(|s| s.ejected <= self.now) else { return };
-        s.ejected = self.now + (EJECT << s.strikes.min(8)).min(EJECT_MAX);
-        s.strikes += 1;
+    /// Ejects a server, unless it is ejected already.
+    pub(super) fn eject(&mut self, key: ServerId) {
+        let Some(s) = self.servers.get_mut(&key).filter(|s| s.eject_end <= self.now) else { return };
+        s.eject_end = self.now + (EJECT << s.ejects.min(8)).min(EJECT_MAX);
+        s.ejects += 1;
     }
 }
--- a/crates/decisions/src/control/leases.rs
+++ b/crates/decisions/src/control/leases.rs
@@ -1,323 +1,318 @@
-//! Quota leases: blocks of units taken ahead from the quota store, and the even share while it is away.
+//! Quota leases: units taken in advance from the shared counter, and the even share while it gives no answer.
 
 use super::overload::SHED_DEAREST;
 use super::{
     lot, mix, Action, Bucket, Controller, CountName, Customer, CustomerId, Micros, Outcome, Plan, Reason,
-    RequestId, COUNTER_REST, GOLDEN, RATE_SPAN, TALLY_SPAN,
+    RequestId, COUNTER_BACKOFF, FAIL_SPAN, GOLDEN, RATE_SPAN,
 };
 
-/// Lease ahead for this long at the recent demand, at least for so many mean requests: little lies idle.
-const LEASE_AHEAD: f64 = 0.5e6;
+/// A lease covers this long at the recent demand, at least so many mean requests: little lies idle.
+const LEASE_SPAN: f64 = 0.5e6;
 const LEASE_REQUESTS: f64 = 3.0;
-/// One count name lives for this long: long against a burst, within the minute that the counter keeps it.
+/// A customer's total gets a new key after this long: much longer than a burst, and within its time to live.
 const WINDOW: Micros = 30_000_000;
-pub(super) const KEEP: Micros = 60_000_000;
-/// What a full fleet adds to the price of a doubtful request, in its worth.
-const CROWD: f64 = 0.5;
-/// How many times as many the others have open while a customer asks as they have in the mean.
-const BURSTY: f64 = 3.0;
-/// AIMD of the share that asks the counter: a prompt answer, a late one or none; the least, over the nodes.
-const ASK_MORE: f64 = 0.10;
-const ASK_LESS: f64 = 0.85;
-const ASK_LEAST: f64 = 4.0;
-/// Back-off from a failing counter doubles from `COUNTER_REST` up to this.
-const COUNTER_REST_MAX: Micros = 800_000;
-/// From which part of a burst on the filling that found the bucket full is taken off the count. Danger: what
-/// is left on it is granted on top of the burst by nodes that have not looked lately, each after the other.
-const BURN_LEAST: f64 = 0.1;
-/// How often a total is read again whose answer could not be read.
+pub(super) const COUNT_TTL: Micros = 60_000_000;
+/// What an overloaded fleet adds to the cost of a request admitted on a guess, as a share of its worth.
+const LOAD_COST: f64 = 0.5;
+/// While a customer is active, its open attempts at other nodes relative to their mean.
+const BURST_FACTOR: f64 = 3.0;
+/// AIMD of the share that calls the counter: on a prompt answer, on a late one or none; minimum times nodes.
+const ASK_INCREASE: f64 = 0.10;
+const ASK_DECREASE: f64 = 0.85;
+const ASK_MIN: f64 = 4.0;
+/// The backoff after failed counter calls doubles from `COUNTER_BACKOFF` up to this.
+const COUNTER_BACKOFF_MAX: Micros = 800_000;
+/// Refill that overflowed the bucket is removed from the total from this share of the burst on. What is left
+/// would be granted beyond the burst by each node that has not read the total lately.
+const OVERFLOW_MIN: f64 = 0.1;
+/// How often a total is read again after an unreadable answer or a connection reset.
 const REREADS: u32 = 1;
 
+/// An open call to the counter.
 pub(super) struct Call {
+    /// Units to lease; negative: to return or to remove from the total.
     pub(super) amount: f64,
-    /// Whose count it adds to. Danger: an answer may come after the window has ended, and its total booked
-    /// in the next one would leave the customer nothing for all of that.
+    /// The window of the total. The answer may come after its end: applied to the next window, this total
+    /// would leave the customer nothing for all of that.
     window: u64,
-    /// Draws without a call that this one reports too; of them what it stands for as a sample.
-    pub(super) told: f64,
-    pub(super) proxy: f64,
+    /// Units drawn without a lease that it reports as well; how many of these are estimated from a sample.
+    pub(super) reported: f64,
+    pub(super) sampled: f64,
     pub(super) at: Micros,
-    /// Answers to it that could not be read, or did not come since its connection broke.
+    /// Times that its answer was unreadable, or missing after a connection reset.
     pub(super) unread: u32,
-    /// Whether it was added is not known.
-    pub(super) doubtful: bool,
+    /// Whether its amount was added is unknown.
+    pub(super) in_doubt: bool,
 }
 
-pub(super) enum Verdict {
+pub(super) enum Draw {
     Granted,
-    Held,
-    Beyond(Reason),
+    /// The request waits for the customer's open call.
+    Pending,
+    Denied(Reason),
 }
 
 impl Controller {
     pub(super) fn counter_up(&self) -> bool {
-        self.set.counter.allowed && self.now >= self.counter_until
+        self.settings.counter.allowed && self.now >= self.counter_up_at
     }
 
-    /// Draws a request's units from the lease, or says whether to wait for a refill.
+    /// Draws a request's units from the lease or the even share, or has it wait for a call if it may.
     #[expect(clippy::too_many_lines, reason = "not split yet: docs/ROADMAP.md, Gateway 13")]
-    pub(super) fn draw(&mut self, id: &RequestId, may_wait: bool, out: &mut Vec<Action>) -> Verdict {
+    pub(super) fn draw(&mut self, id: &RequestId, may_wait: bool, out: &mut Vec<Action>) -> Draw {
         let (now, up) = (self.now, self.counter_up());
-        let Some(r) = self.requests.get_mut(id) else { return Verdict::Beyond(Reason::Overdue) };
-        let Some(c) = self.customers.get_mut(&r.customer) else { return Verdict::Beyond(Reason::Overdue) };
-        let Some(plan) = self.set.plans.get(r.plan) else { return Verdict::Granted };
-        let (key, units, credit) = (r.customer, r.units, self.set.classes[r.class].credit);
+        let Some(request) = self.requests.get_mut(id) else { return Draw::Denied(Reason::Overdue) };
+        let Some(c) = self.customers.get_mut(&request.customer) else { return Draw::Denied(Reason::Overdue) };
+        let Some(plan) = self.settings.plans.get(request.plan) else { return Draw::Granted };
+        let (key, units, credit) =
+            (request.customer, request.units, self.settings.classes[request.class].credit);
         if plan.open_limit > 0 {
-            // What the other nodes have out is known by their recent draws alone, and customers come in
-            // bursts: as it turns out, it swings by as much as its mean (geometric). Danger: beyond the limit
-            // a try costs more than one within it earns.
-            let other = match c.seen {
-                Some(_) => BURSTY * c.others.get(now, RATE_SPAN) / c.mean.max(0.1) * self.latency / 1e6,
+            // Open attempts at other nodes are estimated by their recent draws, and as geometric since
+            // customers come in bursts. An attempt beyond the limit costs more than one within it earns.
+            let other = match c.last_total {
+                Some(_) => BURST_FACTOR * c.others.get(now, RATE_SPAN) / c.mean.max(0.1) * self.latency / 1e6,
                 None => plan.open_limit as f64 * (1.0 - 1.0 / c.spread),
             };
-            let over = (other / (1.0 + other)).powi(plan.open_limit.saturating_sub(c.open) as i32);
-            if over * (1.0 + (plan.excess_cost - plan.extra_worth).max(0.0)) >= 1.0 {
-                return Verdict::Beyond(Reason::Places);
+            let p_full = (other / (1.0 + other)).powi(plan.open_limit.saturating_sub(c.open) as i32);
+            if p_full * (1.0 + (plan.excess_cost - plan.extra_worth).max(0.0)) >= 1.0 {
+                return Draw::Denied(Reason::Places);
             }
         }
         if plan.quota_rate <= 0.0 {
-            return Verdict::Granted;
+            return Draw::Granted;
         }
         if c.lease >= units && (!may_wait || c.waiting.is_empty()) {
             c.lease -= units;
-            r.drew = units;
-            c.drawn.add(now, units, RATE_SPAN);
-            let ahead = c.asked.get(now, RATE_SPAN) * LEASE_AHEAD / 1e6;
+            request.drawn_units = units;
+            c.draw_rate.add(now, units, RATE_SPAN);
+            let ahead = c.demand_rate.get(now, RATE_SPAN) * LEASE_SPAN / 1e6;
             if up && c.call.is_none() && ahead > LEASE_REQUESTS * c.mean && c.lease < ahead / 2.0 {
                 self.refill(key, 0.0, out);
             }
-            return Verdict::Granted;
+            return Draw::Granted;
         }
         let queued: f64 = c.waiting.iter().filter_map(|w| self.requests.get(w)).map(|w| w.units).sum();
         let queued = if may_wait { queued } else { 0.0 };
-        let left = projected(c, plan, now);
+        let left = projected_level(c, plan, now);
         if let (true, Some(call)) = (up, &c.call) {
-            let expected = c.lease + call.amount.min(left).max(0.0);
-            let room = expected - queued >= units || left - call.amount.max(0.0) - queued >= units;
-            return if room { Verdict::Held } else { Verdict::Beyond(Reason::Asking) };
+            let refilled = c.lease + call.amount.min(left).max(0.0);
+            let suffices = refilled - queued >= units || left - call.amount.max(0.0) - queued >= units;
+            return if suffices { Draw::Pending } else { Draw::Denied(Reason::Asking) };
         }
-        if up && c.seen.is_some() && left + c.lease - queued < units {
-            return Verdict::Beyond(Reason::Spent);
+        if up && c.last_total.is_some() && left + c.lease - queued < units {
+            return Draw::Denied(Reason::Spent);
         }
-        let crowd = (self.expected() / (self.shortest_aim() * SHED_DEAREST).max(1.0)).min(1.0);
-        let Some(c) = self.customers.get_mut(&key) else { return Verdict::Beyond(Reason::Overdue) };
-        // What is asked about is drawn by what a wrong guess would cost.
-        let prior = self.looks.get(&c.plan).map_or(0.3, |t| t.mean(now, 0.3, TALLY_SPAN));
-        let risk = c.looks.mean(now, prior, TALLY_SPAN);
+        let load = (self.expected_latency() / (self.shortest_target() * SHED_DEAREST).max(1.0)).min(1.0);
+        let Some(c) = self.customers.get_mut(&key) else { return Draw::Denied(Reason::Overdue) };
+        // The probability of a call grows with the expected loss of a wrong guess.
+        let prior = self.empty_by_plan.get(&c.plan).map_or(0.3, |t| t.mean(now, 0.3, FAIL_SPAN));
+        let risk = c.empty_share.mean(now, prior, FAIL_SPAN);
         let cost = plan.excess_cost - plan.extra_worth;
         let stake = (1.0 - risk).min(risk * cost.max(0.0)) * plan.worth_factor * units * credit;
-        // In a full fleet what is let in crowds out others: doubtful tries are the first to go.
-        let slight = plan.burst / c.spread < c.mean;
-        let trusted = slight && plan.ceiling_rate <= 0.0 && 1.0 - risk > risk * cost + crowd * CROWD;
-        self.stakes += (stake - self.stakes) * if may_wait { 0.02 } else { 0.0 };
-        let odds = self.asking * (stake / self.stakes.max(1e-9)).clamp(0.2, 5.0);
-        let chance = odds / (1.0 - self.asking + odds);
+        // Where the even share holds no whole request, one is admitted on a guess if the bucket is likely not
+        // empty. Under load that displaces other requests, so that guesses are the first to be refused.
+        let is_small = plan.burst / c.spread < c.mean;
+        let guessed = is_small && plan.ceiling_rate <= 0.0 && 1.0 - risk > risk * cost + load * LOAD_COST;
+        self.mean_stake += (stake - self.mean_stake) * if may_wait { 0.02 } else { 0.0 };
+        let odds = self.ask_share * (stake / self.mean_stake.max(1e-9)).clamp(0.2, 5.0);
+        let chance = odds / (1.0 - self.ask_share + odds);
         if up && lot(&mut self.random) < chance {
-            c.stands = if trusted { 1.0 / chance - 1.0 } else { 0.0 };
+            c.unasked_per_call = if guessed { 1.0 / chance - 1.0 } else { 0.0 };
             self.refill(key, units + queued, out);
-            return Verdict::Held;
+            return Draw::Pending;
         }
-        // No answer to be had: the even share of the rate. It starts from this node's part of what the last
-        // totals left; a node that knows nothing starts low, and with nothing under a hard ceiling.
+        // No call: the even share of the rate, from this node's part of the level; half if no total is known.
         let part = 1.0 / c.spread;
-        let start = left.max(0.0) * part * if c.seen.is_some() { 1.0 } else { 0.5 };
-        let share = c.share.get_or_insert(Bucket { store: start, at: now });
+        let start = left.max(0.0) * part * if c.last_total.is_some() { 1.0 } else { 0.5 };
+        let share = c.local_share.get_or_insert(Bucket { store: start, at: now });
         share.refill(now, plan.quota_rate * part, plan.burst * part);
-        if trusted && left >= units || c.lease + share.store >= units {
-            let drew = units - c.lease.max(0.0);
-            (c.lease, share.store) = (0.0, (share.store - drew).max(0.0));
-            c.untold += drew;
-            c.drawn.add(now, units, RATE_SPAN);
-            self.requests.entry(id.clone()).and_modify(|r| r.drew = units);
-            return Verdict::Granted;
+        if guessed && left >= units || c.lease + share.store >= units {
+            let unleased = units - c.lease.max(0.0);
+            (c.lease, share.store) = (0.0, (share.store - unleased).max(0.0));
+            c.unreported += unleased;
+            c.draw_rate.add(now, units, RATE_SPAN);
+            self.requests.entry(id.clone()).and_modify(|request| request.drawn_units = units);
+            return Draw::Granted;
         }
-        Verdict::Beyond(Reason::Share)
+        Draw::Denied(Reason::Share)
     }
 
-    /// Calls for a demand-sized block, no more than the bucket seems to hold.
+    /// Calls for a lease sized by the demand: at most half of the projected level, but at least `need`.
     pub(super) fn refill(&mut self, key: CustomerId, need: f64, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(c) = self.customers.get_mut(&key) else { return };
-        let Some(plan) = self.set.plans.get(c.plan) else { return };
-        let left = projected(c, plan, now);
-        // Danger: whole requests lying at each of a hundred nodes would strand the burst of a slow customer.
+        let Some(plan) = self.settings.plans.get(c.plan) else { return };
+        let left = projected_level(c, plan, now);
+        // Whole requests leased by each of a hundred nodes would strand the burst of a slow customer.
         let part = (LEASE_REQUESTS * c.mean).min(plan.burst / c.spread);
-        let block = (c.asked.get(now, RATE_SPAN) * LEASE_AHEAD / 1e6).max(part);
+        let block = (c.demand_rate.get(now, RATE_SPAN) * LEASE_SPAN / 1e6).max(part);
         let amount = (need - c.lease).max(block - c.lease).min((left / 2.0).max(need - c.lease)).max(0.0);
         if amount > 0.0 {
-            self.count(key, amount, out);
+            self.call_counter(key, amount, out);
         }
     }
 
-    pub(super) fn count(&mut self, key: CustomerId, amount: f64, out: &mut Vec<Action>) {
+    /// Adds an amount to the customer's total, together with what is not yet reported.
+    pub(super) fn call_counter(&mut self, key: CustomerId, amount: f64, out: &mut Vec<Action>) {
         let Some(c) = self.customers.get_mut(&key) else { return };
         let window = window_of(key, self.now);
         let name = count_name(key, window);
-        let proxy = amount.max(0.0) * std::mem::take(&mut c.stands);
-        let told = std::mem::take(&mut c.untold) + proxy;
-        c.call = Some(Call { amount, window, told, proxy, at: self.now, unread: 0, doubtful: false });
+        let sampled = amount.max(0.0) * std::mem::take(&mut c.unasked_per_call);
+        let reported = std::mem::take(&mut c.unreported) + sampled;
+        c.call = Some(Call { amount, window, reported, sampled, at: self.now, unread: 0, in_doubt: false });
         self.calls.insert(name, key);
-        out.push(Action::Count { name, amount: amount + told, keep_for: KEEP });
+        out.push(Action::Count { name, amount: amount + reported, keep_for: COUNT_TTL });
     }
 
-    pub(super) fn on_counted(
-        &mut self,
-        name: CountName,
-        outcome: Outcome,
-        total: f64,
-        out: &mut Vec<Action>,
-    ) {
+    /// Applies the end of a counter call, and serves the requests that waited for it.
+    pub(super) fn on_count(&mut self, name: CountName, outcome: Outcome, total: f64, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(key) = self.calls.remove(&name) else { return };
         let Some(c) = self.customers.get_mut(&key) else { return };
         let Some(mut call) = c.call.take() else { return };
-        // Danger: what got an answer that can't be read was added all the same; what got none since its
-        // connection broke may have been, and the counter is alive. The total is read once more, and tells
-        // what the answer would have told.
-        let spoilt = matches!(outcome, Outcome::Error | Outcome::Reset);
-        if spoilt && call.unread < REREADS {
+        // After an unreadable answer the amount was added; after a connection reset it may have been, and the
+        // counter is alive. Reading the total again gives what the answer would have given.
+        let unclear = matches!(outcome, Outcome::Error | Outcome::Reset);
+        if unclear && call.unread < REREADS {
             (call.unread, call.at) = (call.unread + 1, now);
-            call.doubtful = outcome == Outcome::Reset;
+            call.in_doubt = outcome == Outcome::Reset;
             c.call = Some(call);
             self.calls.insert(name, key);
-            return out.push(Action::Count { name, amount: 0.0, keep_for: KEEP });
+            return out.push(Action::Count { name, amount: 0.0, keep_for: COUNT_TTL });
         }
-        let Some(plan) = self.set.plans.get(c.plan) else { return };
-        let (mut excess, mut burn) = (0.0, 0.0);
-        // Danger: a hundred nodes that ask for every request crowd the counter, and then none gets an answer.
-        let prompt = outcome == Outcome::Ok && now.saturating_sub(call.at) < self.set.counter.wait / 2;
-        if !spoilt {
-            let next = if prompt { self.asking + ASK_MORE } else { self.asking * ASK_LESS };
-            self.asking = next.max(ASK_LEAST / self.set.nodes as f64).clamp(0.05, 1.0);
+        let Some(plan) = self.settings.plans.get(c.plan) else { return };
+        let (mut not_granted, mut correction) = (0.0, 0.0);
+        // A hundred nodes that call for every request overload the counter, and then none gets an answer.
+        let prompt = outcome == Outcome::Ok && now.saturating_sub(call.at) < self.settings.counter.wait / 2;
+        if !unclear {
+            let next = if prompt { self.ask_share + ASK_INCREASE } else { self.ask_share * ASK_DECREASE };
+            self.ask_share = next.max(ASK_MIN / self.settings.nodes as f64).clamp(0.05, 1.0);
         }
         if outcome == Outcome::Ok && total.is_finite() {
-            (self.counter_rest, self.counter_until) = (COUNTER_REST, 0);
-            c.share = None;
-            settle(c, &mut call, total);
-            (excess, burn) = book(c, plan, key, now, &call, total);
+            (self.counter_backoff, self.counter_up_at) = (COUNTER_BACKOFF, 0);
+            c.local_share = None;
+            resolve_in_doubt(c, &mut call, total);
+            (not_granted, correction) = apply(c, plan, key, now, &call, total);
             if call.amount > 0.0 {
-                let empty = if excess > 0.0 { 1.0 } else { 0.0 };
-                c.looks.add(now, empty, TALLY_SPAN);
-                self.looks.entry(c.plan).or_default().add(now, empty, TALLY_SPAN);
-                excess += empty * call.proxy;
+                let empty = if not_granted > 0.0 { 1.0 } else { 0.0 };
+                c.empty_share.add(now, empty, FAIL_SPAN);
+                self.empty_by_plan.entry(c.plan).or_default().add(now, empty, FAIL_SPAN);
+                not_granted += empty * call.sampled;
             }
-        } else if !spoilt {
-            // Danger: a silent or crowded counter. Nothing is granted; the next call waits, longer each time,
-            // and a random part keeps the nodes from coming back in step.
-            let rest = self.counter_rest;
-            self.counter_until = now + rest / 2 + (lot(&mut self.random) * rest as f64 / 2.0) as Micros;
-            self.counter_rest = (rest * 2).min(COUNTER_REST_MAX);
-            // Of a call that was read again this says nothing.
+        } else if !unclear {
+            // The counter is silent or overloaded: exponential backoff, with jitter to spread the nodes.
+            let backoff = self.counter_backoff;
+            self.counter_up_at = now + backoff / 2 + (lot(&mut self.random) * backoff as f64 / 2.0) as Micros;
+            self.counter_backoff = (backoff * 2).min(COUNTER_BACKOFF_MAX);
+            // When it was the second reading that failed, the first call's units may have been added.
             if outcome != Outcome::TimedOut && call.unread == 0 {
-                c.untold += call.told;
+                c.unreported += call.reported;
                 c.lease += (-call.amount).max(0.0);
             }
         }
-        if excess > 0.01 {
-            self.count(key, -excess, out);
-        } else if !call.doubtful && (burn < 0.0 || burn > 0.0 && self.asking > 0.5) {
-            c.untold += burn;
-            self.count(key, 0.0, out);
+        if not_granted > 0.01 {
+            self.call_counter(key, -not_granted, out);
+        } else if !call.in_doubt && (correction < 0.0 || correction > 0.0 && self.ask_share > 0.5) {
+            c.unreported += correction;
+            self.call_counter(key, 0.0, out);
         }
         self.serve_waiting(key, out);
         if self.stopping {
-            self.hand_back(0, out);
+            self.return_leases(0, out);
         }
     }
 
-    /// Lets in what waited for a lease, in order; what still lacks units is deferred.
+    /// Sends the requests that waited for a lease, in order; those that still lack units are deferred.
     pub(super) fn serve_waiting(&mut self, key: CustomerId, out: &mut Vec<Action>) {
         while let Some(id) = self.customers.get_mut(&key).and_then(|c| c.waiting.pop_front()) {
-            if self.requests.get(&id).is_none_or(|r| r.answered) {
+            if self.requests.get(&id).is_none_or(|request| request.answered) {
                 continue;
             }
             match self.draw(&id, false, out) {
-                Verdict::Granted => self.launch(&id, out),
-                Verdict::Held => return self.customers.entry(key).or_default().waiting.push_front(id),
-                Verdict::Beyond(why) => self.beyond(&id, why, out),
+                Draw::Granted => self.launch(&id, out),
+                Draw::Pending => return self.customers.entry(key).or_default().waiting.push_front(id),
+                Draw::Denied(why) => self.defer(&id, why, out),
             }
         }
     }
 
-    /// Gives back leases unused for `idle`; 0: the node stops, and each call that was out does so again.
-    pub(super) fn hand_back(&mut self, idle: Micros, out: &mut Vec<Action>) {
+    /// Returns leases unused for `idle`. 0: the node is shutting down; each open call repeats it at its end.
+    pub(super) fn return_leases(&mut self, idle: Micros, out: &mut Vec<Action>) {
         let (now, up) = (self.now, self.counter_up());
         self.stopping |= idle == 0;
-        let spare = |c: &Customer| up && now.saturating_sub(c.used_at) >= idle && c.call.is_none();
-        let spare = self.customers.iter_mut().filter(|(_, c)| spare(c) && c.lease > c.mean / 2.0);
-        let back: Vec<_> = spare.map(|(&key, c)| (key, std::mem::take(&mut c.lease))).collect();
-        back.into_iter().for_each(|(key, back)| self.count(key, -back, out));
+        let unused = |c: &Customer| up && now.saturating_sub(c.used_at) >= idle && c.call.is_none();
+        let unused = self.customers.iter_mut().filter(|(_, c)| unused(c) && c.lease > c.mean / 2.0);
+        let leases: Vec<_> = unused.map(|(&key, c)| (key, std::mem::take(&mut c.lease))).collect();
+        leases.into_iter().for_each(|(key, returned)| self.call_counter(key, -returned, out));
     }
 }
 
-/// What the fleet's bucket should hold now, if the others go on drawing as they did.
-fn projected(c: &Customer, plan: &Plan, now: Micros) -> f64 {
+/// The projected level of the customer's fleet-wide bucket, if other nodes go on drawing at the same rate.
+fn projected_level(c: &Customer, plan: &Plan, now: Micros) -> f64 {
     let span = now.saturating_sub(c.level_at) as f64 / 1e6;
     let net = (plan.quota_rate - c.others.get(now, RATE_SPAN)).max(plan.quota_rate / c.spread);
     (c.level + net * span).min(plan.burst - c.lease)
 }
 
-/// Whether two sums are the same, as exactly as a total tells (seven digits).
-fn equal(a: f64, b: f64, total: f64) -> bool {
+/// Whether two sums are equal within the precision of a total (seven digits).
+fn nearly_equal(a: f64, b: f64, total: f64) -> bool {
     (a - b).abs() <= total.abs().max(1.0) * 2e-6
 }
 
-/// Clears up whether a doubtful call was added. Danger: what others drew must not be granted here as well. So
-/// it counts as added only if the total grew by its very amount, as not added only if by less; else its units
-/// stay with the counter and nobody gets them, which costs a customer with little left.
-fn settle(c: &mut Customer, call: &mut Call, total: f64) {
-    let last = c.seen.filter(|&(w, _)| w == call.window).map_or(0.0, |(_, last)| last);
-    let (sum, grown) = (call.amount + call.told, total - last);
-    if !call.doubtful || equal(grown, sum, total) {
+/// Resolves whether a call in doubt was added: yes if the total grew by just its amount, no if by less.
+/// Otherwise the growth may be what others drew, and granting it here as well would exceed the quota: the
+/// units stay with the counter and nobody gets them, which costs a customer with little left.
+fn resolve_in_doubt(c: &mut Customer, call: &mut Call, total: f64) {
+    let last = c.last_total.filter(|&(w, _)| w == call.window).map_or(0.0, |(_, last)| last);
+    let (sum, growth) = (call.amount + call.reported, total - last);
+    if !call.in_doubt || nearly_equal(growth, sum, total) {
         return;
     }
-    if sum > 0.0 && grown < sum {
-        c.untold += call.told - call.proxy;
+    if sum > 0.0 && growth < sum {
+        c.unreported += call.reported - call.sampled;
     }
-    (call.amount, call.told, call.proxy) = (0.0, 0.0, 0.0);
+    (call.amount, call.reported, call.sampled) = (0.0, 0.0, 0.0);
 }
 
-/// Books a total. Returns what of the call's amount does not fit into the bucket, and what of the filling
-/// found the bucket full, or of what was used before a new window, is to be taken off the total.
-fn book(c: &mut Customer, plan: &Plan, key: CustomerId, now: Micros, call: &Call, total: f64) -> (f64, f64) {
-    let (amount, window, sum) = (call.amount, call.window, call.amount + call.told);
+/// Updates the customer's level and lease by a total. Returns the part of the call's amount that exceeds the
+/// bucket, and a correction of the total: by refill that overflowed, or by units used before a new window.
+fn apply(c: &mut Customer, plan: &Plan, key: CustomerId, now: Micros, call: &Call, total: f64) -> (f64, f64) {
+    let (amount, window, sum) = (call.amount, call.window, call.amount + call.reported);
     let secs = |from: Micros| now.saturating_sub(from) as f64 / 1e6;
-    let last = c.seen.filter(|&(w, _)| w == window).map(|(_, last)| last);
-    let fallen = last.is_some_and(|last| total + plan.burst / 2.0 < last + amount);
-    let delta = total - last.filter(|_| !fallen).unwrap_or(total - amount);
-    c.others.add(now, (delta - amount - call.told).max(0.0), RATE_SPAN);
+    let last = c.last_total.filter(|&(w, _)| w == window).map(|(_, last)| last);
+    let reset = last.is_some_and(|last| total + plan.burst / 2.0 < last + amount);
+    let delta = total - last.filter(|_| !reset).unwrap_or(total - amount);
+    c.others.add(now, (delta - amount - call.reported).max(0.0), RATE_SPAN);
     let level = plan.burst + plan.quota_rate * secs(window_start(key, window)) - total;
-    // Danger: a total that fell (flushed, or empty after a restart) tells nothing of the past. The level is
-    // carried on, less what the others draw; under a hard ceiling always, since no total may grant a burst
-    // twice.
-    let carried = fallen || plan.ceiling_rate > 0.0;
-    let unseen = if last.is_none() || fallen { c.others.get(now, RATE_SPAN) * secs(c.level_at) } else { 0.0 };
-    let grown = (c.level + plan.quota_rate * secs(c.level_at)).min(plan.burst);
-    c.level = if carried { grown - delta - unseen } else { level.min(grown - amount) };
+    // A total that fell (flushed, or empty after a restart) says nothing of the past: the level is carried
+    // over, less what the others draw. Under a ceiling always, since no total may grant a burst twice.
+    let carried = reset || plan.ceiling_rate > 0.0;
+    let unseen = if last.is_none() || reset { c.others.get(now, RATE_SPAN) * secs(c.level_at) } else { 0.0 };
+    let refilled = (c.level + plan.quota_rate * secs(c.level_at)).min(plan.burst);
+    c.level = if carried { refilled - delta - unseen } else { level.min(refilled - amount) };
     c.level_at = now;
-    let asked = amount.max(0.0);
-    let fit = (asked + (c.level + call.proxy).min(0.0)).clamp(0.0, asked);
-    c.lease += fit;
-    let over = level + amount - plan.burst;
-    // Danger: two nodes that see one overflow both burn it. The later sees the burst gone, though it knew of
-    // it, and puts it back.
-    let gone = over < -call.told / 2.0 && grown - level > call.told / 2.0;
-    let doubled = amount == 0.0 && call.told > 0.0 && gone;
-    // Danger: a new window counts from nothing, as if the bucket were full, and each node goes by its count.
-    // The first to add to it, which sees its own sum as the total, burns what it knows to be used by then.
-    let first = c.seen.is_some_and(|(w, _)| w < window) && equal(total, sum, total);
-    let used = level - (grown - unseen - sum);
-    let burn = match () {
+    let requested = amount.max(0.0);
+    let granted = (requested + (c.level + call.sampled).min(0.0)).clamp(0.0, requested);
+    c.lease += granted;
+    let overflow = level + amount - plan.burst;
+    // Two nodes may both remove one overflow. The later sees less than it knew of, and puts its part back.
+    let is_gone = overflow < -call.reported / 2.0 && refilled - level > call.reported / 2.0;
+    let doubled = amount == 0.0 && call.reported > 0.0 && is_gone;
+    // A new window's total starts from 0, as if the bucket were full, and each node goes by it. The first
+    // node to add to it, which sees its own sum as the total, adds what it knows to be used by then.
+    let first = c.last_total.is_some_and(|(w, _)| w < window) && nearly_equal(total, sum, total);
+    let used = level - (refilled - unseen - sum);
+    let correction = match () {
         () if carried => 0.0,
         () if first && used > c.mean / 2.0 => used,
-        () if over < plan.burst * BURN_LEAST => 0.0,
-        () => over,
+        () if overflow < plan.burst * OVERFLOW_MIN => 0.0,
+        () => overflow,
     };
-    c.seen = Some((window, total));
-    (asked - fit, if doubled { -call.told } else { burn })
+    c.last_total = Some((window, total));
+    (requested - granted, if doubled { -call.reported } else { correction })
 }
 
-/// Windows are staggered by customer, so that not all names change at a stroke.
+/// The customer's window at `now`. Windows are staggered by customer, so that not all keys change at once.
 fn window_of(key: CustomerId, now: Micros) -> u64 {
     (now + mix(key.0) % WINDOW) / WINDOW
 }
--- a/crates/decisions/src/control/overload.rs
+++ b/crates/decisions/src/control/overload.rs
@@ -1,70 +1,67 @@
-//! Overload: which request is shed when the fleet is full, and how soon it is not.
+//! Load shedding: which requests are refused while the servers are overloaded, and until when.
 
-use super::{Controller, Micros, RequestId, DONE_SPAN, HELD_GAIN, TICK};
+use super::{Controller, Micros, RequestId, ACTIVE_GAIN, DONE_SPAN, TICK};
 
-/// Smoothing of the mean time of answers, and how many requests out it weighs as much as.
+/// Time constant of the mean latency, and its weight in the expected latency, in active attempts.
 pub(super) const MEAN_SPAN: f64 = 4.0e6;
-const EVIDENCE: f64 = 3.0;
-/// A request is shed when its expected latency is past this share of its aim: the cheapest and the dearest
-/// work. Work times vary about as much as their mean, hence well under the whole.
+const PRIOR_ATTEMPTS: f64 = 3.0;
+/// A request is shed when the expected latency exceeds this share of the target: for the cheapest and the
+/// dearest requests. Service times vary about as much as their mean, hence well below 1.
 pub(super) const SHED_CHEAPEST: f64 = 0.25;
 pub(super) const SHED_DEAREST: f64 = 0.48;
 
 impl Controller {
-    /// If the fleet is full for this request, how soon it is not, if nothing more were sent: what is expected
-    /// is smoothed, so it falls by a constant share each tick.
-    /// Danger: a full fleet, where everything is answered late. The cheapest work goes first. Judged by what
-    /// is out now, so that an idle fleet always lets in: old latencies alone latch it shut.
-    pub(super) fn overloaded(&self, id: &RequestId) -> Option<Micros> {
-        let r = self.requests.get(id)?;
-        let plan = self.set.plans.get(r.plan)?;
-        let class = &self.set.classes[r.class];
-        let credit = self.set.classes.iter().map(|c| c.credit).fold(1e-9, f64::max);
-        let factor = self.set.plans.iter().map(|p| p.worth_factor).fold(1e-9, f64::max);
+    /// If the servers are overloaded for this request: how soon they are not if nothing more is sent (the
+    /// smoothed load falls by a constant share each tick). The cheapest are shed first, or all would be late.
+    /// Judged by the attempts active now: by past latencies alone an idle fleet would shed forever.
+    pub(super) fn overload_ends_in(&self, id: &RequestId) -> Option<Micros> {
+        let request = self.requests.get(id)?;
+        let plan = self.settings.plans.get(request.plan)?;
+        let class = &self.settings.classes[request.class];
+        let credit = self.settings.classes.iter().map(|c| c.credit).fold(1e-9, f64::max);
+        let factor = self.settings.plans.iter().map(|p| p.worth_factor).fold(1e-9, f64::max);
         let rank = class.credit / credit * plan.worth_factor / factor;
-        // What is no number ranks last.
+        // NaN ranks last.
         let rank = if rank > 0.0 { rank.min(1.0) } else { 0.0 };
         let share = SHED_CHEAPEST + (SHED_DEAREST - SHED_CHEAPEST) * rank;
-        // All classes queue at the same servers: the shortest aim rules, or the patient class takes all.
-        let over = self.expected() / (self.shortest_aim() * share).max(1.0);
-        (over > 1.0).then(|| (over.ln() / HELD_GAIN * TICK as f64) as Micros)
+        // All classes share the servers' queues: with targets of their own the longest would take them all.
+        let excess = self.expected_latency() / (self.shortest_target() * share).max(1.0);
+        (excess > 1.0).then(|| (excess.ln() / ACTIVE_GAIN * TICK as f64) as Micros)
     }
 
-    /// The latency to expect of a new request, by Little's law: what this node has out over the rate at which
-    /// answers come, on the servers that answer. Danger: a node that sees a few requests a second has one or
-    /// none out, and one alone would look like a full fleet. So the mean of recent answers weighs as much as
-    /// `EVIDENCE` requests out; with no answers it is forgotten.
-    pub(super) fn expected(&self) -> f64 {
+    /// The expected latency of a new request, by Little's law: this node's active attempts at healthy servers
+    /// over the rate of their answers. A node with few requests has one active or none, and one would look
+    /// like overload: while there are answers, recent latencies weigh as much as `PRIOR_ATTEMPTS` attempts.
+    pub(super) fn expected_latency(&self) -> f64 {
         let mut rate = 0.0;
-        for s in self.servers.values().filter(|s| s.listed && self.well(s)) {
-            rate += s.done.get(self.now, DONE_SPAN);
+        for s in self.servers.values().filter(|s| s.listed && self.healthy(s)) {
+            rate += s.answers.get(self.now, DONE_SPAN);
         }
-        let mean = self.times.mean(self.now, self.shortest_aim() * SHED_CHEAPEST / 2.0, MEAN_SPAN);
-        let (mean, by_cold) = self.bounded(mean);
-        let age = 1.0 - (-(self.now.saturating_sub(self.begun) as f64) / DONE_SPAN).exp();
-        let rate = (rate > 0.0).then_some(rate / age.max(1e-3) + EVIDENCE * 1e6 / mean.max(1.0));
-        rate.map_or(0.0, |rate| (self.held + EVIDENCE) / rate * 1e6 - by_cold)
+        let mean = self.recent.mean(self.now, self.shortest_target() * SHED_CHEAPEST / 2.0, MEAN_SPAN);
+        let (mean, cold_excess) = self.bounded_mean(mean);
+        let age = 1.0 - (-(self.now.saturating_sub(self.first_event_at) as f64) / DONE_SPAN).exp();
+        let rate = (rate > 0.0).then_some(rate / age.max(1e-3) + PRIOR_ATTEMPTS * 1e6 / mean.max(1.0));
+        rate.map_or(0.0, |rate| (self.active_mean + PRIOR_ATTEMPTS) / rate * 1e6 - cold_excess)
     }
 
-    /// The mean that may weigh as evidence, and what an answer takes longer because servers are cold. Danger:
-    /// a cold server is slow though nothing waits there, and a fleet being replaced would be taken for full.
-    /// A mean past what sheds, with all shed, gets no new answer: alone it must not shed an idle fleet.
-    fn bounded(&self, mean: f64) -> (f64, f64) {
-        let by_cold = self.usual * (self.slowed() - 1.0);
-        (mean.min(by_cold + self.shortest_aim() * SHED_CHEAPEST), by_cold)
+    /// The mean latency, limited so that it can't shed by itself (with all shed no answer would correct it),
+    /// and the excess due to cold servers: slow without a queue, a fleet under replacement would look full.
+    fn bounded_mean(&self, mean: f64) -> (f64, f64) {
+        let cold_excess = self.base * (self.cold_slowdown() - 1.0);
+        (mean.min(cold_excess + self.shortest_target() * SHED_CHEAPEST), cold_excess)
     }
 
-    /// How many times as long a request takes in the mean as in a warm fleet: each server gets its share of
-    /// the requests by its warmth, and takes as many times as long by it.
-    pub(super) fn slowed(&self) -> f64 {
-        let near = self.servers.values().filter(|s| s.near);
-        let (count, warmth) = near.fold((1e-9, 1e-9), |(n, w), s| (n + 1.0, w + self.warmth(s)));
+    /// Mean latency relative to warm servers: each server gets requests in proportion to its warmth, and
+    /// takes longer for each in inverse proportion.
+    pub(super) fn cold_slowdown(&self) -> f64 {
+        let in_subset = self.servers.values().filter(|s| s.in_subset);
+        let (count, warmth) = in_subset.fold((1e-9, 1e-9), |(n, w), s| (n + 1.0, w + self.warmth(s)));
         count / warmth
     }
 
-    /// A class without an aim has its deadline. Danger: an aim of nothing would shed all other classes.
-    pub(super) fn shortest_aim(&self) -> f64 {
-        let aims = self.set.classes.iter().map(|c| if c.on_time > 0 { c.on_time } else { c.deadline });
-        aims.filter(|&aim| aim > 0).min().unwrap_or(0) as f64
+    /// The shortest latency target; a class without one counts by its deadline, as 0 would shed all others.
+    pub(super) fn shortest_target(&self) -> f64 {
+        let bounds = self.settings.classes.iter().map(|c| if c.on_time > 0 { c.on_time } else { c.deadline });
+        bounds.filter(|&target| target > 0).min().unwrap_or(0) as f64
     }
 }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -1,356 +1,365 @@
-//! What the decision module is given and what it answers: types only, no decisions.
+//! The types of [`Controller`](crate::control::Controller)'s interface: its settings, the events it handles
+//! and the actions it emits. No decision is made here.
 
 use std::sync::Arc;
 
-/// Microseconds, of the clock or of a span.
+/// A point on the node's clock or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request's id, given back unchanged.
+/// Identifies a request. Actions carry the id of the request's event unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub Arc<str>);
 
 impl From<&str> for RequestId {
-    fn from(word: &str) -> Self {
-        RequestId(word.into())
+    fn from(text: &str) -> Self {
+        RequestId(text.into())
     }
 }
 
-/// A server's id, the same at every node.
+/// Identifies an app server; the same id at every node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ServerId(pub u32);
 
-/// The customer a request belongs to.
+/// Identifies the customer that a request belongs to, and whose quota it draws on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct CustomerId(pub u64);
 
-/// The name of a number kept by the counter service.
+/// The key under which the counter service keeps one total.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CountName(pub u64);
 
-/// How often a class's effect may happen.
+/// Whether a request of a class may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// It may be executed any number of times.
     #[default]
     Safe,
-    /// Servers of one group drop a repeat within the class's window.
+    /// It carries an idempotency key: the servers of one [`Group`] drop a repeat within [`Class::window`].
     Keyed,
-    /// Must never run twice.
+    /// It must never be executed twice.
     Unsafe,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The set of servers that deduplicate a keyed request among themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A class of request.
+/// A class of requests: its time limits, whether it may be repeated, and its worth.
 #[derive(Debug, Clone, Default)]
 pub struct Class {
-    /// Answered within this earns full worth.
+    /// Latency target: an answer within this time from the client's first try earns the full worth; 0: none.
     pub on_time: Micros,
-    /// The client's total wait over all its tries.
+    /// How long the client waits in total, over all its tries of the request.
     pub deadline: Micros,
-    /// Whether it may run again.
+    /// Whether a request that may have been executed may be sent again.
     pub effect: Effect,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: which servers drop a repeat.
     pub group: Group,
-    /// For keyed classes: for how long.
+    /// For keyed classes: for how long after the first attempt was sent they drop it.
     pub window: Micros,
-    /// Worth of one request.
+    /// Worth of one request answered on time, before [`Plan::worth_factor`].
     pub credit: f64,
-    /// Share of the worth paid for a late answer.
+    /// Share of the worth that an answer after `on_time` still earns, from 0 to 1.
     pub late_worth: f64,
-    /// The answer is a stream.
+    /// The answer is a stream. The controller does not use it.
     pub stream: bool,
 }
 
-/// A plan: quotas that hold for each customer over all nodes together.
+/// A plan: the quotas of each of its customers, over all nodes together, and what exceeding them costs.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// Units a second; 0: no such quota.
+    /// Refill rate of the customer's token bucket, in units per second; 0: no rate quota.
     pub quota_rate: f64,
-    /// Most units at once; the store starts full.
+    /// Capacity of that bucket, in units. It starts full.
     pub burst: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Refill rate of the hard ceiling, in units per second; 0: no ceiling. Under a ceiling a restart of
+    /// nodes or of the counter must not grant the burst a second time.
     pub ceiling_rate: f64,
-    /// Most units of the ceiling's store.
+    /// Capacity of the ceiling's bucket, in units. The controller does not use it.
     pub ceiling_burst: f64,
-    /// How far the ceiling's store may go below nothing.
+    /// How far the ceiling's bucket may go below zero, in units. The controller does not use it.
     pub ceiling_slack: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Most attempts that a customer may have open at once; 0: no concurrency quota.
     pub open_limit: u32,
-    /// Share of its worth that a try beyond quota costs.
+    /// What serving a request beyond the quota costs, as a share of the request's worth.
     pub excess_cost: f64,
-    /// Share of its worth that a try beyond quota earns.
+    /// What serving a request beyond the quota earns, as a share of the request's worth.
     pub extra_worth: f64,
-    /// Factor on the worth.
+    /// Factor on the worth of this plan's requests.
     pub worth_factor: f64,
 }
 
-/// What the site permits.
+/// What the deployment permits a node to do.
 #[derive(Debug, Clone, Default)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Attempts may be cancelled ([`Action::Cancel`]).
     pub cancel: bool,
-    /// Probes are allowed.
+    /// Servers may be probed. The controller does not use it: it sends no probes.
     pub probing: bool,
-    /// Clients get the retry-after time.
+    /// Refusals carry a retry-after time to the client.
     pub retry_after: bool,
-    /// The longest retry-after that a client heeds.
+    /// The longest retry-after that a client honours.
     pub max_retry_after: Micros,
-    /// Most attempts for one request.
+    /// Most attempts at one request, the first included.
     pub try_limit: u32,
 }
 
-/// The shared counter service.
+/// The shared counter service, which keeps the totals that quotas are accounted by.
 #[derive(Debug, Clone, Default)]
 pub struct CounterSettings {
-    /// Calls are allowed.
+    /// Nodes may call it.
     pub allowed: bool,
-    /// A call unanswered by then has timed out.
+    /// A call not answered within this time has timed out.
     pub wait: Micros,
 }
 
-/// Figures of the rules.
+/// How servers behave after a start, while they are cold.
 #[derive(Debug, Clone, Default)]
 pub struct Rules {
-    /// A server boots at this share of its capacity or more.
+    /// Share of its full capacity that a server has at least when it has just started, from 0 to 1.
     pub cold_from: f64,
-    /// It is warm after this at the latest.
+    /// Time after its start at which a server has its full capacity at the latest; 0: at once.
     pub cold: Micros,
-    /// A cold server falls when sent this many times its capacity.
+    /// A cold server crashes when it is sent this many times its capacity for `tip_after`. The controller
+    /// does not use either: [`cold_from`](Self::cold_from) and [`cold`](Self::cold) keep it well below.
     pub fall_multiple: f64,
-    /// For this long.
+    /// See `fall_multiple`.
     pub tip_after: Micros,
 }
 
-/// What a node is told at its start.
+/// The settings of a node, given at its start.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    /// This node's number, from 0.
+    /// This node's index among the nodes, from 0.
     pub me: u32,
-    /// Nodes in all.
+    /// Number of nodes in the deployment.
     pub nodes: u32,
     /// This node's zone.
     pub zone: u32,
-    /// Batches come at most this often.
+    /// Shortest time between two batches of events. The controller does not use it.
     pub quantum: Micros,
-    /// The server list must be asked for.
+    /// The server list comes only on request: the controller emits [`Action::WatchList`] on a stale or lost
+    /// list. Otherwise it emits [`Action::FetchList`] on a stale one.
     pub list_on_request: bool,
-    /// Clients mark their repeats.
+    /// Clients mark their retries. The controller does not use it: each request says so itself.
     pub marks_retry: bool,
-    /// The most units a request counts.
+    /// Most units that one request may draw. The controller does not use it.
     pub largest_units: f64,
-    /// True units arrive with the answer.
+    /// A request's true units are known only with its answer. The controller does not use it.
     pub settles_after: bool,
-    /// Price of attempts that cross zones, per first try.
+    /// Price of attempts at servers of other zones, per first attempt.
     pub cross_zone_price: f64,
-    /// Classes.
+    /// The request classes; requests and events refer to them by index.
     pub classes: Vec<Class>,
-    /// Plans.
+    /// The plans; requests refer to them by index.
     pub plans: Vec<Plan>,
-    /// Limits.
+    /// What the node may do.
     pub limits: Limits,
-    /// Counter service.
+    /// The counter service.
     pub counter: CounterSettings,
-    /// Rules' figures.
+    /// Cold starts of servers.
     pub rules: Rules,
 }
 
-/// A server's state on the list.
+/// A server's state in the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum MemberState {
-    /// In service.
+    /// In service: it may get new attempts.
     #[default]
     In,
-    /// Finishing its work.
+    /// It finishes what it has and gets no new attempts.
     Draining,
-    /// Removed.
+    /// Removed from service.
     Out,
 }
 
-/// An entry of the server list.
+/// An entry of the server list: one server.
 #[derive(Debug, Clone, Default)]
 pub struct Member {
-    /// Which server.
+    /// The server's id.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: u32,
-    /// Its kind of machine.
+    /// Its machine type. The controller does not use it.
     pub kind: u32,
-    /// Its cell.
+    /// The cell it belongs to.
     pub cell: u32,
-    /// Its state.
+    /// Whether it is in service.
     pub state: MemberState,
-    /// Its size beside the others', where told; else 1.
+    /// Its capacity relative to the other servers; 1 where unknown.
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// When it last started; 0: so long ago that it is warm.
     pub started: Micros,
 }
 
-/// What a list event holds.
+/// What the entries of a server list event are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list.
+    /// The complete list: a server that is missing has been removed.
     Whole,
-    /// The whole list as this node last had it, maybe old.
+    /// The complete list as this node last stored it, possibly outdated; the controller asks for a new one.
     Stale,
-    /// A call failed or the subscription broke.
+    /// No entries: a call for the list failed or the subscription broke.
     Lost,
 }
 
-/// A client's request.
+/// A request that a client has sent to this node.
 #[derive(Debug, Clone)]
 pub struct NewRequest {
-    /// Its id.
+    /// Its id, unique among the node's open requests.
     pub id: RequestId,
-    /// Its customer.
+    /// The customer whose quota it draws on.
     pub customer: CustomerId,
-    /// Its class.
+    /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// Its plan.
+    /// Index of its customer's plan in [`Settings::plans`].
     pub plan: usize,
-    /// Units it draws.
+    /// Units of quota that it draws.
     pub units: f64,
-    /// First node of the customer's set.
+    /// Index of the first of the nodes that the customer's requests come to. The controller does not use it.
     pub first_node: u32,
-    /// Nodes in the customer's set.
+    /// Number of nodes that the customer's requests come to.
     pub spread: u32,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub marked_retry: bool,
-    /// When the client gives this try up.
+    /// When the client gives up this try.
     pub due: Micros,
 }
 
-/// How an attempt, a probe or a call ended.
+/// How an attempt at a server, a probe or a call to the counter ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// It was answered successfully.
     Ok,
-    /// Error answer; may have run.
+    /// It was answered with an error; it may have been executed. Counter call: the amount was added, but the
+    /// total can't be read.
     Error,
-    /// Turned away unseen.
+    /// It was rejected without being executed. Counter call: nothing was added.
     Full,
-    /// No answer in time; may have run.
+    /// No answer came in time; it may have been executed.
     TimedOut,
-    /// No connection; did not run.
+    /// No connection came up; it was not executed.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Cancelled; may have run.
+    /// It was cancelled; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     Ignored,
 }
 
-/// How far an attempt has come whose request or answer is too long to be taken in whole.
+/// Progress of an attempt whose request or answer is too long to be buffered and is streamed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The request's body is on its way.
+    /// The request's body is being sent to the server.
     Sending,
-    /// Its last byte has been passed on: from here on the server has the request.
+    /// The last byte of the request's body has been sent: from here on the server has the request.
     Sent,
-    /// The answer's body is on its way.
+    /// The answer's body is being passed to the client.
     Answering,
 }
 
-/// The end of an attempt.
+/// The end of an attempt at a server.
 #[derive(Debug, Clone)]
 pub struct Ended {
-    /// The request.
+    /// The request that the attempt was for.
     pub id: RequestId,
-    /// The attempt's number.
+    /// The attempt's index among the request's attempts, from 0.
     pub attempt: u32,
-    /// The server.
+    /// The server it was sent to. The controller goes by what it sent, not by this.
     pub server: ServerId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending it to its end.
     pub spent: Micros,
-    /// The request has its final answer.
+    /// The request has its final answer, so no further attempt is wanted.
     pub finished: bool,
-    /// True units, where settled afterwards.
+    /// The request's true units, where [`Settings::settles_after`]. The controller does not use it.
     pub final_units: Option<f64>,
 }
 
-/// What happens to a node.
+/// What happens at a node, as input to its controller.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The server list.
+    /// The server list, or changes to it, has arrived.
     Members {
-        /// What the entries are.
+        /// Whether the entries are the complete list or changes to it.
         kind: ListKind,
         /// The entries.
         entries: Vec<Member>,
     },
-    /// A client's request.
+    /// A client's request has arrived.
     Request(NewRequest),
-    /// A streamed answer has begun.
+    /// An answer has begun to stream to the client, so the request can't be sent again.
     Began {
-        /// The request.
+        /// The request's id.
         id: RequestId,
     },
-    /// A long body is passed on, and can't be sent again.
+    /// A long request or answer body is being streamed, so the request can't be sent again.
     Streams {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's index among the request's attempts, from 0.
         attempt: u32,
-        /// How far it has come.
+        /// How far the attempt has come.
         stage: Stage,
     },
-    /// An attempt ended.
+    /// An attempt at a server has ended.
     Ended(Ended),
-    /// The client left, or its answer is overdue.
+    /// The client has disconnected or given up: the request needs no answer any more.
     Gone {
-        /// The request.
+        /// The request's id.
         id: RequestId,
     },
-    /// A counter call ended.
+    /// A call to the counter ([`Action::Count`]) has ended.
     Counted {
-        /// The name.
+        /// The key that was added to.
         name: CountName,
-        /// How: `Ok`, `Full`, `ConnectFailed` or `TimedOut`.
+        /// `Ok`: the amount was added. `Full`, `ConnectFailed`: it was not. `Error`: it was, but the total
+        /// can't be read. `Reset`, `TimedOut`: it may have been; after `Reset` the counter is known to be
+        /// alive.
         outcome: Outcome,
-        /// The total, with `Ok`.
+        /// The total after the call; meaningful with `Ok` only.
         total: f64,
     },
-    /// A probe ended.
+    /// A probe of a server has ended. The controller ignores it.
     Probed {
-        /// The server.
+        /// The server's id.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
-    /// A timer is due.
+    /// A timer set by [`Action::Timer`] has expired. Each one runs the controller's periodic work, whatever
+    /// its id.
     Timer {
-        /// Its number.
+        /// The timer's id.
         id: u64,
     },
-    /// The node is about to end and takes no more requests.
+    /// The node is shutting down and accepts no more requests: leases go back to the counter.
     Stopping,
-    /// This node's number among so many has changed.
+    /// The set of nodes, and with it this node's index, has changed.
     Placed {
-        /// Its number, from 0.
+        /// This node's index among the nodes, from 0.
         me: u32,
-        /// Nodes in all.
+        /// Number of nodes in the deployment.
         nodes: u32,
     },
-    /// The settings have changed; open requests keep theirs.
+    /// The classes or the attempt limit have been reconfigured. Open requests keep their attempt limit.
     Retuned {
-        /// The classes: those there were, each under its number, and new ones behind them.
+        /// All classes: the existing ones at their indices, then new ones. A shorter table than before is
+        /// ignored, and `try_limit` with it.
         classes: Vec<Class>,
-        /// Most attempts for one request.
+        /// Most attempts at one request, the first included.
         try_limit: u32,
     },
 }
@@ -358,36 +367,36 @@
 /// Why a request was not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// The fleet is taken for full.
+    /// The servers are judged to be overloaded for a request of its worth.
     Overload,
-    /// It came too late for an answer in time.
+    /// It arrived too late, or was started too late, for an answer that still has its worth.
     Overdue,
-    /// Its customer has as many requests open as its plan allows, by what this node knows.
+    /// Its customer has as many attempts open as its plan allows, as far as this node can tell.
     Places,
-    /// Its customer's quota is spent, as the counter tells.
+    /// Its customer's quota is exhausted, by the counter's last total.
     Spent,
-    /// The counter is being asked for this customer, and what is asked for is taken.
+    /// A call to the counter is open for this customer, and the requests already waiting use up its units.
     Asking,
-    /// The counter was not asked or is away, and this node's even share is spent.
+    /// The counter was not asked or is unavailable, and this node's even share of the quota is exhausted.
     Share,
-    /// No server that may take it came free in its time.
+    /// No eligible server became available in time.
     NoServer,
-    /// No connection to a server came up.
+    /// No connection to its server came up.
     NoConnection,
-    /// The server turned it away: full or draining.
+    /// Its server rejected it without executing it, for instance because it is full or draining.
     TurnedAway,
-    /// The server answered with an error.
+    /// Its server answered with an error.
     Error,
-    /// The server did not answer in time.
+    /// Its server did not answer in time.
     TimedOut,
-    /// The connection broke under the request.
+    /// The connection to its server broke before the answer was complete.
     Reset,
-    /// Its attempt was given up, and another came too late.
+    /// Its attempt was cancelled, and no other was made.
     Cancelled,
 }
 
 impl Reason {
-    /// All of them, each at its number.
+    /// All reasons, each at the index of its discriminant.
     pub const ALL: [Reason; 13] = [
         Reason::Overload,
         Reason::Overdue,
@@ -404,7 +413,7 @@
         Reason::Cancelled,
     ];
 
-    /// Its name in figures.
+    /// The reason's name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Overload => "overload",
@@ -432,71 +441,71 @@
             Outcome::TimedOut => Reason::TimedOut,
             Outcome::Reset => Reason::Reset,
             Outcome::Cancelled => Reason::Cancelled,
-            // An attempt that was not started came too late.
+            // An attempt is left unsent only where it would have been too late.
             Outcome::Ignored => Reason::Overdue,
             Outcome::Ok | Outcome::Error => Reason::Error,
         }
     }
 }
 
-/// What a node does.
+/// What a node is to do, as output of its controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt at a server. A request's attempts are numbered from 0 in the order of these actions.
     Send {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// The server.
+        /// The server's id.
         server: ServerId,
-        /// Time-out; 0: until the client gives up.
+        /// Time after which the attempt times out; 0: when the client gives up.
         timeout: Micros,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Answer the client, finally: refused, and a retry is harmless.
     Refuse {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// How long to stay away; 0: no advice.
+        /// The retry-after time; 0: none is given.
         retry_after: Micros,
-        /// Why.
+        /// Why the request was not served.
         why: Reason,
     },
-    /// Final answer: failed, nothing promised.
+    /// Answer the client, finally: failed, and the request may have been executed.
     Fail {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// Why.
+        /// Why the request was not served.
         why: Reason,
     },
-    /// Give up an attempt.
+    /// Cancel an open attempt. Its end comes as [`Event::Ended`] all the same.
     Cancel {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's index among the request's attempts, from 0.
         attempt: u32,
     },
-    /// Probe a server.
+    /// Check whether a server answers. The controller never emits it.
     Probe {
-        /// The server.
+        /// The server's id.
         server: ServerId,
     },
-    /// Add to a count.
+    /// Add an amount to a total of the counter service; [`Event::Counted`] brings the new total.
     Count {
-        /// The name.
+        /// The key of the total.
         name: CountName,
-        /// The amount.
+        /// The amount in units: negative gives units back, 0 reads the total.
         amount: f64,
-        /// How long a new name is kept.
+        /// How long the counter keeps a total that this call creates.
         keep_for: Micros,
     },
-    /// Set a timer.
+    /// Set a timer; [`Event::Timer`] brings its id back.
     Timer {
-        /// Its number.
+        /// The timer's id.
         id: u64,
-        /// Time from now.
+        /// Time from now to its expiry.
         after: Micros,
     },
-    /// Fetch the whole server list once.
+    /// Fetch the complete server list once.
     FetchList,
-    /// Subscribe to list changes.
+    /// Subscribe to the server list and its changes.
     WatchList,
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,8 @@
-//! mountbend decides for an admission gateway of a service sold by plan: which request is let in,
-//! deferred or refused, and which server gets it.
+//! Admission control and load balancing for a gateway in front of a service sold by plan: which
+//! requests are admitted, deferred or refused, and which server each is sent to.
 //!
-//! The decisions are one pure state machine, [`control::Controller`]: events go in with the clock,
-//! actions come out. It opens no socket and reads no clock.
+//! The decisions are made by a pure state machine, [`control::Controller`]: it takes events with the
+//! current time and returns actions. It does no I/O and reads no clock.
 //!
 //! ```
 //! use mountbend::control::Controller;
@@ -11,7 +11,7 @@
 //! let settings = Settings {
 //!     nodes: 1,
 //!     classes: vec![Class { on_time: 500_000, deadline: 2_000_000, credit: 1.0, ..Class::default() }],
-//!     plans: vec![Plan::default()], // no quota at all
+//!     plans: vec![Plan::default()], // without any quota
 //!     limits: Limits { try_limit: 3, ..Limits::default() },
 //!     ..Settings::default()
 //! };
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test and short-hands for its events.
+//! A gateway node under test, with shorthands for its events and actions.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -47,31 +47,34 @@
     }
 }
 
-pub struct Node {
+/// A controller with a clock that the test advances.
+pub struct TestNode {
     pub now: Micros,
-    pub node: Controller,
-    pub next: u32,
+    pub controller: Controller,
+    /// Number of the last request submitted.
+    pub last_request: u32,
 }
 
-impl Node {
-    pub fn new(set: Settings, servers: u32) -> Node {
-        Node::seeded(5, set, servers)
+impl TestNode {
+    pub fn new(config: Settings, servers: u32) -> TestNode {
+        TestNode::seeded(5, config, servers)
     }
 
-    pub fn seeded(seed: u64, set: Settings, servers: u32) -> Node {
-        let mut n = Node { now: 100 * SECOND, node: Controller::new(seed, set), next: 0 };
+    pub fn seeded(seed: u64, config: Settings, servers: u32) -> TestNode {
+        let mut gateway =
+            TestNode { now: 100 * SECOND, controller: Controller::new(seed, config), last_request: 0 };
         let entries = (0..servers).map(|i| member(i, MemberState::In, 0)).collect();
-        n.event(Event::Members { kind: ListKind::Whole, entries });
-        n
+        gateway.event(Event::Members { kind: ListKind::Whole, entries });
+        gateway
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.node.handle(self.now, event, &mut out);
+        self.controller.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn wait(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         self.now += span;
     }
 
@@ -79,13 +82,14 @@
         self.event(Event::Timer { id: 0 })
     }
 
-    pub fn ask(&mut self, class: usize, units: f64) -> (RequestId, Vec<Action>) {
-        self.ask_as(class, units, false)
+    /// Submits a request of one customer, due in 2 s.
+    pub fn submit(&mut self, class: usize, units: f64) -> (RequestId, Vec<Action>) {
+        self.submit_as(class, units, false)
     }
 
-    pub fn ask_as(&mut self, class: usize, units: f64, marked_retry: bool) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId::from(format!("r{}", self.next).as_str());
+    pub fn submit_as(&mut self, class: usize, units: f64, marked_retry: bool) -> (RequestId, Vec<Action>) {
+        self.last_request += 1;
+        let id = RequestId::from(format!("r{}", self.last_request).as_str());
         let request = NewRequest {
             id: id.clone(),
             customer: CustomerId(7),
@@ -100,6 +104,7 @@
         (id, self.event(Event::Request(request)))
     }
 
+    /// Ends an attempt 50 ms after it was sent.
     pub fn end(&mut self, id: &RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
         self.end_after(50 * MS, id, attempt, server, outcome)
     }
@@ -123,7 +128,7 @@
         }))
     }
 
-    pub fn counted(&mut self, name: CountName, outcome: Outcome, total: f64) -> Vec<Action> {
+    pub fn counter_reply(&mut self, name: CountName, outcome: Outcome, total: f64) -> Vec<Action> {
         self.event(Event::Counted { name, outcome, total })
     }
 }
@@ -132,21 +137,24 @@
     Member { server: ServerId(server), cell: server % 2, state, started, weight: 1.0, ..Member::default() }
 }
 
-pub fn call(actions: &[Action]) -> Option<(CountName, f64)> {
+/// The first counter call among the actions: its key and amount.
+pub fn counter_call(actions: &[Action]) -> Option<(CountName, f64)> {
     actions.iter().find_map(|a| match a {
         Action::Count { name, amount, .. } => Some((*name, *amount)),
         _ => None,
     })
 }
 
+/// The attempts sent among the actions.
 pub fn sent(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
-    let pick = |a: &Action| match a {
+    let send = |a: &Action| match a {
         Action::Send { id, server, .. } => Some((id.clone(), *server)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(send).collect()
 }
 
+/// The retry-after time of the first refusal among the actions.
 pub fn refused(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| match a {
         Action::Refuse { retry_after, .. } => Some(*retry_after),
@@ -158,20 +166,20 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Settings without any quota, so that only servers and attempts decide.
-pub fn open() -> Settings {
-    let mut set = settings();
-    set.plans[0] = Plan { worth_factor: 1.0, ..Plan::default() };
-    set
+/// Settings without any quota, so that only server choice and retries are tested.
+pub fn no_quota() -> Settings {
+    let mut config = settings();
+    config.plans[0] = Plan { worth_factor: 1.0, ..Plan::default() };
+    config
 }
 
-/// One request that is passed on at once, and the server it went to.
-pub fn send_one(n: &mut Node, class: usize) -> (RequestId, ServerId) {
-    let (_, actions) = n.ask(class, 1.0);
+/// Submits one request, which must be sent at once, and returns it with its server.
+pub fn send_one(gateway: &mut TestNode, class: usize) -> (RequestId, ServerId) {
+    let (_, actions) = gateway.submit(class, 1.0);
     sent(&actions).pop().expect("an attempt")
 }
 
-/// A counter that keeps one number, for tests.
+/// A counter service that keeps all totals.
 #[derive(Default)]
 pub struct Counter(pub std::collections::BTreeMap<CountName, f64>);
 
@@ -183,12 +191,12 @@
     }
 }
 
-/// Answers every call at once until none is left; gives all actions.
-pub fn settle(n: &mut Node, counter: &mut Counter, mut actions: Vec<Action>) -> Vec<Action> {
+/// Answers every counter call at once until none is left, and returns all actions.
+pub fn answer_calls(gateway: &mut TestNode, counter: &mut Counter, mut actions: Vec<Action>) -> Vec<Action> {
     let mut all = actions.clone();
-    while let Some((name, amount)) = call(&actions) {
+    while let Some((name, amount)) = counter_call(&actions) {
         let total = counter.add(name, amount);
-        actions = n.counted(name, Outcome::Ok, total);
+        actions = gateway.counter_reply(name, Outcome::Ok, total);
         all.extend(actions.clone());
     }
     all
--- a/crates/decisions/tests/odd_settings.rs
+++ b/crates/decisions/tests/odd_settings.rs
@@ -1,4 +1,5 @@
-//! Lists and settings that would make an estimate zero, negative or not finite: no panic, and no shedding for ever.
+//! Server lists and settings that make an estimate zero, negative or not finite must neither cause a panic nor make
+//! an idle fleet refuse requests forever.
 
 #[allow(clippy::too_many_lines, reason = "the fleet's one loop of events")]
 mod common;
@@ -36,22 +37,22 @@
 }
 
 prop_compose! {
-    fn sites()(
+    fn configs()(
         classes in prop::collection::vec(classes(), 0..4),
         (nodes, me) in (prop_oneof![Just(0), 1..400u32, Just(u32::MAX)], prop_oneof![0..400u32, Just(u32::MAX)]),
         (cold_from, cold) in (numbers(), spans()),
         worth_factor in numbers(),
         cross_zone_price in numbers(),
     ) -> Settings {
-        let mut set = open();
-        (set.classes, set.nodes, set.me, set.cross_zone_price) = (classes, nodes, me, cross_zone_price);
-        (set.rules.cold_from, set.rules.cold) = (cold_from, cold);
-        set.plans[0].worth_factor = worth_factor;
-        set
+        let mut config = no_quota();
+        (config.classes, config.nodes, config.me, config.cross_zone_price) = (classes, nodes, me, cross_zone_price);
+        (config.rules.cold_from, config.rules.cold) = (cold_from, cold);
+        config.plans[0].worth_factor = worth_factor;
+        config
     }
 }
 
-fn ask(n: &mut Node, class: usize, number: u64) -> (RequestId, Vec<Action>) {
+fn submit(gateway: &mut TestNode, class: usize, number: u64) -> (RequestId, Vec<Action>) {
     let id = RequestId::from(format!("q{number}").as_str());
     let customer = CustomerId(number % 5);
     let request = NewRequest {
@@ -63,47 +64,47 @@
         first_node: 0,
         spread: 3,
         marked_retry: false,
-        due: n.now + 4 * SECOND,
+        due: gateway.now + 4 * SECOND,
     };
-    (id, n.event(Event::Request(request)))
+    (id, gateway.event(Event::Request(request)))
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_told_an_idle_fleet_lets_in(
-        set in sites(),
+    fn an_idle_fleet_admits_requests_whatever_the_settings_and_lists(
+        config in configs(),
         lists in prop::collection::vec(prop::collection::vec(members(), 0..30), 1..5),
         plays in prop::collection::vec((0..4usize, 0..300u64, 0..3u8), 0..60),
     ) {
-        let classes = set.classes.len();
-        let mut n = Node::seeded(3, set, 0);
+        let classes = config.classes.len();
+        let mut gateway = TestNode::seeded(3, config, 0);
         for (number, entries) in lists.into_iter().enumerate() {
             let kind = if number % 2 == 0 { ListKind::Whole } else { ListKind::Changes };
-            n.event(Event::Members { kind, entries });
-            for (i, &(class, wait, how)) in plays.iter().enumerate() {
-                n.wait(wait * MS);
-                n.tick();
-                let (id, actions) = ask(&mut n, class, (number * 100 + i) as u64);
+            gateway.event(Event::Members { kind, entries });
+            for (i, &(class, delay, outcome_index)) in plays.iter().enumerate() {
+                gateway.advance(delay * MS);
+                gateway.tick();
+                let (id, actions) = submit(&mut gateway, class, (number * 100 + i) as u64);
                 for (_, server) in sent(&actions) {
-                    n.wait(wait * MS);
-                    let outcome = [Outcome::Ok, Outcome::Reset, Outcome::TimedOut][how as usize];
-                    n.end(&id, 0, server, outcome);
+                    gateway.advance(delay * MS);
+                    let outcome = [Outcome::Ok, Outcome::Reset, Outcome::TimedOut][outcome_index as usize];
+                    gateway.end(&id, 0, server, outcome);
                 }
             }
         }
-        // One sound server, warm for long, and nothing out for a while.
+        // One sound server, warm for a long time, and no traffic for a while.
         let sound = vec![member(77, MemberState::In, 0)];
-        n.event(Event::Members { kind: ListKind::Whole, entries: sound });
+        gateway.event(Event::Members { kind: ListKind::Whole, entries: sound });
         for _ in 0..600 {
-            n.wait(50 * MS);
-            n.tick();
+            gateway.advance(50 * MS);
+            gateway.tick();
         }
         for class in 0..classes {
-            let (id, actions) = ask(&mut n, class, 9_000 + class as u64);
-            prop_assert_eq!(sent(&actions).len(), 1, "class {} is turned away by an idle fleet", class);
-            n.end(&id, 0, ServerId(77), Outcome::Ok);
+            let (id, actions) = submit(&mut gateway, class, 9_000 + class as u64);
+            prop_assert_eq!(sent(&actions).len(), 1, "a request of class {} is refused by an idle fleet", class);
+            gateway.end(&id, 0, ServerId(77), Outcome::Ok);
         }
     }
 }
