--- a/crates/wire/src/bin/mountbend-wirehost.rs
+++ b/crates/wire/src/bin/mountbend-wirehost.rs
@@ -1,4 +1,4 @@
-//! Hosts decision modules on the wire: one line in, one line out.
+//! Runs the simulator adapter on standard input and output: one reply line for each input line.
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufWriter};
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,7 @@
-//! The adapter: wire messages to events and actions back. It maps and decides nothing.
+//! The simulator adapter: hosts the controllers of simulated nodes. It maps the simulator's JSON messages to
+//! [`Event`]s and [`Action`]s back to JSON, one line per batch, and makes no decisions of its own.
+//!
+//! The names of variants and fields of `Message` and `Output` are the wire format.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,21 +16,21 @@
 };
 use pinerelay_protocol::settings::Env;
 
-/// Why the adapter stopped.
+/// An error that stops the adapter.
 #[derive(Debug)]
 pub enum WireError {
-    /// A line that is not the JSON expected.
+    /// A line is not valid JSON, or not a batch.
     Malformed {
-        /// Number of the line, from 1.
+        /// The line's number, from 1.
         line: usize,
-        /// What the parser said.
+        /// The parser's error message.
         reason: String,
     },
-    /// A message for an instance that was not started.
+    /// A message names a node for which no `PowerOn` has come.
     NotStarted(String),
-    /// A list number that no `Pool` has set up.
+    /// A `Membership` refers to a list that no `Pool` has defined.
     UnknownList(u32),
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     Io(std::io::Error),
 }
 
@@ -50,60 +53,61 @@
     }
 }
 
+/// One line of input: the messages to all nodes at one time.
 #[derive(Deserialize)]
 struct Batch {
     time: Micros,
     parts: Vec<Part>,
 }
 
+/// The messages to one node, in order.
 #[derive(Deserialize)]
 struct Part {
     node_id: String,
     msgs: Vec<Message>,
 }
 
+/// A message of the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "what")]
 enum Message {
-    PowerOn {
-        salt: u64,
-        env: Box<Env>,
-    },
-    Pool {
-        list: u32,
-        members: Vec<Entry>,
-    },
+    /// The node starts, with the seed `salt` and the settings `env`.
+    PowerOn { salt: u64, env: Box<Env> },
+    /// Defines the server list number `list`, for later `Membership` messages to any node.
+    Pool { list: u32, members: Vec<Entry> },
+    /// The server list or changes to it arrive at the node: [`Event::Members`] with the entries of `list`.
     Membership {
         how: How,
         #[serde(default)]
         list: u32,
     },
+    /// A client's request arrives: [`Event::Request`].
     Knock(Knock),
+    /// An attempt has ended: [`Event::Ended`].
     Ended(WireEnded),
-    Expired {
-        xid: String,
-    },
-    AckFirst {
-        xid: String,
-    },
+    /// The client has given up the request: [`Event::Gone`].
+    Expired { xid: String },
+    /// The answer has begun to stream to the client: [`Event::Began`].
+    AckFirst { xid: String },
+    /// A counter call has ended: [`Event::Counted`] for the total `book`, which is `value` now.
     TallyBack {
         book: u64,
         state_code: Code,
         #[serde(default)]
         value: f64,
     },
-    ProbeDone {
-        server: u32,
-        state_code: Code,
-    },
-    Alarm {
-        handle: u64,
-    },
+    /// A probe has ended: [`Event::Probed`].
+    ProbeDone { server: u32, state_code: Code },
+    /// A timer has expired: [`Event::Timer`].
+    Alarm { handle: u64 },
+    /// The node is killed and loses its state.
     Killed,
+    /// Any other message; ignored.
     #[serde(other)]
     Unknown,
 }
 
+/// What the entries of a `Membership` are: see [`ListKind`].
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "snake_case")]
 enum How {
@@ -113,6 +117,7 @@
     Lost,
 }
 
+/// A server's state: see [`MemberState`].
 #[derive(Deserialize, Clone, Copy)]
 enum Condition {
     #[serde(rename = "IN")]
@@ -123,13 +128,17 @@
     Out,
 }
 
+/// An entry of the server list: see [`Member`].
 #[derive(Deserialize, Clone)]
 struct Entry {
     server: u32,
+    /// The server's zone.
     #[serde(default)]
     site: u32,
+    /// The server's machine type.
     #[serde(default)]
     family_type: u32,
+    /// The server's cell.
     #[serde(default)]
     block: u32,
     condition: Condition,
@@ -138,28 +147,39 @@
     last_start: Micros,
 }
 
+/// A client's request: see [`NewRequest`].
 #[derive(Deserialize)]
 struct Knock {
+    /// The request's id.
     xid: String,
+    /// The first node of the customer's set.
     #[serde(default)]
     set_start: f64,
+    /// The number of nodes in that set.
     entry_points: Option<f64>,
+    /// Index of the plan.
     #[serde(default)]
     terms: usize,
+    /// Whether the client marked it as a retry.
     #[serde(default)]
     again_by_client: bool,
     quota_units: Option<f64>,
+    /// Index of the class.
     lane: usize,
+    /// The customer's id, hexadecimal.
     #[serde(default)]
     member: String,
     due: Micros,
 }
 
+/// The end of an attempt: see [`mountbend::interface::Ended`].
 #[derive(Deserialize)]
 struct WireEnded {
+    /// The request's id.
     xid: String,
     #[serde(default)]
     spent: Micros,
+    /// The attempt's index among the request's attempts.
     #[serde(default)]
     seq_no: u32,
     #[serde(default)]
@@ -169,6 +189,7 @@
     server: u32,
 }
 
+/// How an attempt, a probe or a counter call ended: see [`Outcome`].
 #[derive(Deserialize, Clone, Copy)]
 enum Code {
     Ok,
@@ -181,28 +202,40 @@
     Ignored,
 }
 
+/// One line of output: the actions of all nodes for one batch.
 #[derive(Serialize)]
 struct Reply<'a> {
     parts: Vec<ReplyPart<'a>>,
 }
 
+/// The actions of one node, in order.
 #[derive(Serialize)]
 struct ReplyPart<'a> {
     node_id: &'a str,
     output: Vec<Output>,
 }
 
+/// An action of a node.
 #[derive(Serialize)]
 #[serde(tag = "what")]
 enum Output {
+    /// [`Action::Send`].
     PassOn { xid: String, server: u32, timeout: Micros },
+    /// [`Action::Refuse`], with the retry-after time.
     Bounce { xid: String, not_before_for: Micros },
+    /// [`Action::Fail`].
     EndFailed { xid: String },
+    /// [`Action::Cancel`] of the attempt number `seq_no`.
     Abandon { xid: String, seq_no: u32 },
+    /// [`Action::Probe`].
     Check { server: u32 },
+    /// [`Action::Count`] for the total `book`.
     Add { book: u64, amount: f64, keep_for: Micros },
+    /// [`Action::Timer`].
     After { handle: u64, from_now: Micros },
+    /// [`Action::FetchList`].
     Snapshot,
+    /// [`Action::WatchList`].
     Watch { active: bool },
 }
 
@@ -233,24 +266,25 @@
 }
 
 impl From<&Entry> for Member {
-    fn from(e: &Entry) -> Self {
+    fn from(entry: &Entry) -> Self {
         Member {
-            server: ServerId(e.server),
-            zone: e.site,
-            kind: e.family_type,
-            cell: e.block,
-            state: match e.condition {
+            server: ServerId(entry.server),
+            zone: entry.site,
+            kind: entry.family_type,
+            cell: entry.block,
+            state: match entry.condition {
                 Condition::In => MemberState::In,
                 Condition::Lame => MemberState::Draining,
                 Condition::Out => MemberState::Out,
             },
-            weight: e.weight.unwrap_or(1.0),
-            started: e.last_start,
+            weight: entry.weight.unwrap_or(1.0),
+            started: entry.last_start,
         }
     }
 }
 
-fn event(message: Message, lists: &BTreeMap<u32, Vec<Member>>) -> Result<Option<Event>, WireError> {
+/// The controller's event for a message; none for a message that the adapter handles itself or ignores.
+fn event_of(message: Message, lists: &BTreeMap<u32, Vec<Member>>) -> Result<Option<Event>, WireError> {
     Ok(Some(match message {
         Message::Membership { how: How::Lost, .. } => {
             Event::Members { kind: ListKind::Lost, entries: Vec::new() }
@@ -259,25 +293,25 @@
             kind: how.into(),
             entries: lists.get(&list).ok_or(WireError::UnknownList(list))?.clone(),
         },
-        Message::Knock(k) => Event::Request(NewRequest {
-            id: k.xid.as_str().into(),
-            customer: CustomerId(u64::from_str_radix(&k.member, 16).unwrap_or_default()),
-            class: k.lane,
-            plan: k.terms,
-            units: k.quota_units.unwrap_or(1.0),
-            first_node: k.set_start as u32,
-            spread: k.entry_points.unwrap_or(0.0) as u32,
-            marked_retry: k.again_by_client,
-            due: k.due,
+        Message::Knock(request) => Event::Request(NewRequest {
+            id: request.xid.as_str().into(),
+            customer: CustomerId(u64::from_str_radix(&request.member, 16).unwrap_or_default()),
+            class: request.lane,
+            plan: request.terms,
+            units: request.quota_units.unwrap_or(1.0),
+            first_node: request.set_start as u32,
+            spread: request.entry_points.unwrap_or(0.0) as u32,
+            marked_retry: request.again_by_client,
+            due: request.due,
         }),
-        Message::Ended(e) => Event::Ended(Ended {
-            id: e.xid.as_str().into(),
-            attempt: e.seq_no,
-            server: ServerId(e.server),
-            outcome: e.state_code.into(),
-            spent: e.spent,
-            finished: e.finished,
-            final_units: e.final_units,
+        Message::Ended(end) => Event::Ended(Ended {
+            id: end.xid.as_str().into(),
+            attempt: end.seq_no,
+            server: ServerId(end.server),
+            outcome: end.state_code.into(),
+            spent: end.spent,
+            finished: end.finished,
+            final_units: end.final_units,
         }),
         Message::Expired { xid } => Event::Gone { id: xid.as_str().into() },
         Message::AckFirst { xid } => Event::Began { id: xid.as_str().into() },
@@ -294,6 +328,7 @@
     }))
 }
 
+/// The simulator's message for an action.
 fn output(action: Action) -> Output {
     match action {
         Action::Send { id, server, timeout } => {
@@ -312,7 +347,7 @@
     }
 }
 
-/// Reads batches line by line, lets each instance's module decide, and writes one reply a batch.
+/// Reads batches line by line, passes each message to its node's controller, and writes one reply line per batch.
 pub fn run(input: impl BufRead, mut out: impl Write) -> Result<(), WireError> {
     let mut nodes: BTreeMap<String, Controller> = BTreeMap::new();
     let mut lists: BTreeMap<u32, Vec<Member>> = BTreeMap::new();
@@ -336,7 +371,7 @@
                         actions.clear();
                     }
                     other => {
-                        let Some(event) = event(other, &lists)? else { continue };
+                        let Some(event) = event_of(other, &lists)? else { continue };
                         let node = nodes
                             .get_mut(&part.node_id)
                             .ok_or_else(|| WireError::NotStarted(part.node_id.clone()))?;
@@ -349,7 +384,9 @@
                 replies.push((part.node_id, outputs));
             }
         }
-        let parts = replies.iter_mut().map(|(id, o)| ReplyPart { node_id: id, output: std::mem::take(o) });
+        let parts = replies
+            .iter_mut()
+            .map(|(id, messages)| ReplyPart { node_id: id, output: std::mem::take(messages) });
         serde_json::to_writer(&mut out, &Reply { parts: parts.collect() })
             .map_err(|e| WireError::Io(e.into()))?;
         out.write_all(b"\n")?;
