--- a/crates/decisions/src/control.rs
+++ b/crates/decisions/src/control.rs
@@ -220,21 +220,21 @@
             Event::Members { kind, entries } => self.on_members(kind, entries, out),
             Event::Request(new) => self.on_request(new, out),
             Event::Began { id } => self.requests.get_mut(&id).into_iter().for_each(|r| r.is_streamed = true),
-            Event::Streams { id, attempt, stage } => self.on_streams(&id, attempt, stage),
+            Event::Streaming { id, attempt, stage } => self.on_streams(&id, attempt, stage),
             Event::Ended(end) => self.on_ended(end, out),
-            Event::Gone { id } => self.close(&id),
-            Event::Counted { name, outcome, total } => self.on_count(name, outcome, total, out),
+            Event::ClientGone { id } => self.close(&id),
+            Event::CounterReply { name, outcome, total } => self.on_count(name, outcome, total, out),
             Event::Timer { .. } => self.on_tick(out),
             Event::Stopping => self.return_leases(0, out),
             // Open requests refer to classes by index and must keep their effect: no shorter table is taken.
-            Event::Retuned { classes, try_limit } if classes.len() >= self.settings.classes.len() => {
+            Event::SettingsChanged { classes, try_limit } if classes.len() >= self.settings.classes.len() => {
                 (self.settings.classes, self.settings.limits.try_limit) = (classes, try_limit);
             }
-            Event::Placed { me, nodes } => {
+            Event::NodesChanged { me, nodes } => {
                 (self.settings.me, self.settings.nodes) = (me, nodes);
                 self.rebuild_ring();
             }
-            Event::Retuned { .. } | Event::Probed { .. } => {}
+            Event::SettingsChanged { .. } | Event::Probed { .. } => {}
         }
     }
 
--- a/crates/decisions/src/control/attempts.rs
+++ b/crates/decisions/src/control/attempts.rs
@@ -66,7 +66,7 @@
         }
         a.pending = false;
         let (server, sent_at, location, streamed) = (a.server, a.sent_at, a.location, a.streaming);
-        let maybe_ran = !matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Ignored);
+        let maybe_ran = !matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         if maybe_ran && request.first_run.is_none_or(|(at, _)| sent_at < at) {
             request.first_run = Some((sent_at, location));
         }
@@ -79,7 +79,7 @@
         }
         // A server may fail one class or reject one plan and serve the rest: failures are counted by kind,
         // and the server is avoided for that kind alone (outlier ejection by success rate).
-        let failed = matches!(end.outcome, Outcome::Error | Outcome::Full);
+        let failed = matches!(end.outcome, Outcome::Error | Outcome::Rejected);
         if failed || end.outcome == Outcome::Ok {
             let failed = if failed { 1.0 } else { 0.0 };
             for kind in [request.class, PLAN_KINDS + request.plan] {
@@ -94,7 +94,7 @@
         // while many others reset fails two or three more attempts.
         let common = self.reset_share.mean(now, 0.0, FAIL_SPAN);
         let was_reset = end.outcome == Outcome::Reset;
-        if was_reset || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if was_reset || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.reset_share.add(now, if was_reset { 1.0 } else { 0.0 }, FAIL_SPAN);
             s.resets = if was_reset { s.resets + 1 } else { 0 };
         }
@@ -129,7 +129,7 @@
         let Some(request) = self.requests.get(&end.id) else { return };
         let all_ended = request.attempts.iter().all(|a| !a.pending);
         if !request.answered && all_ended {
-            let may_retry = end.outcome != Outcome::Ignored && self.may_resend(&end.id);
+            let may_retry = end.outcome != Outcome::NotSent && self.may_resend(&end.id);
             let pick = || self.choose(&end.id, Some(server)).or_else(|| self.choose(&end.id, None));
             match may_retry.then(pick).flatten() {
                 Some(next) => self.send(&end.id, next, out),
--- a/crates/decisions/src/control/choice.rs
+++ b/crates/decisions/src/control/choice.rs
@@ -58,8 +58,8 @@
             let s = self.servers.entry(m.server).or_insert_with(new);
             (s.zone, s.cell) = (m.zone, m.cell);
             s.size = if m.weight.is_finite() && m.weight > 0.0 { m.weight } else { 1.0 };
-            s.listed = m.state == MemberState::In;
-            s.removed = m.state == MemberState::Out;
+            s.listed = m.state == MemberState::InService;
+            s.removed = m.state == MemberState::Removed;
             if m.started > s.started {
                 (s.started, s.ejects, s.resets, s.eject_end) = (m.started, 0, 0, 0);
                 (s.slow_start, s.latency) = (slow_start, self.latency);
--- a/crates/decisions/src/control/leases.rs
+++ b/crates/decisions/src/control/leases.rs
@@ -75,7 +75,7 @@
             };
             let p_full = (other / (1.0 + other)).powi(plan.open_limit.saturating_sub(c.open) as i32);
             if p_full * (1.0 + (plan.excess_cost - plan.extra_worth).max(0.0)) >= 1.0 {
-                return Draw::Denied(Reason::Places);
+                return Draw::Denied(Reason::ConcurrencyQuota);
             }
         }
         if plan.quota_rate <= 0.0 {
@@ -97,10 +97,10 @@
         if let (true, Some(call)) = (up, &c.call) {
             let refilled = c.lease + call.amount.min(left).max(0.0);
             let suffices = refilled - queued >= units || left - call.amount.max(0.0) - queued >= units;
-            return if suffices { Draw::Pending } else { Draw::Denied(Reason::Asking) };
+            return if suffices { Draw::Pending } else { Draw::Denied(Reason::LeasePending) };
         }
         if up && c.last_total.is_some() && left + c.lease - queued < units {
-            return Draw::Denied(Reason::Spent);
+            return Draw::Denied(Reason::QuotaExhausted);
         }
         let load = (self.expected_latency() / (self.shortest_target() * SHED_DEAREST).max(1.0)).min(1.0);
         let Some(c) = self.customers.get_mut(&key) else { return Draw::Denied(Reason::Overdue) };
@@ -134,7 +134,7 @@
             self.requests.entry(id.clone()).and_modify(|request| request.drawn_units = units);
             return Draw::Granted;
         }
-        Draw::Denied(Reason::Share)
+        Draw::Denied(Reason::ShareExhausted)
     }
 
     /// Calls for a lease sized by the demand: at most half of the projected level, but at least `need`.
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -174,11 +174,11 @@
 pub enum MemberState {
     /// In service: it may get new attempts.
     #[default]
-    In,
+    InService,
     /// It finishes what it has and gets no new attempts.
     Draining,
     /// Removed from service.
-    Out,
+    Removed,
 }
 
 /// An entry of the server list: one server.
@@ -206,7 +206,7 @@
     /// Only the entries that changed.
     Changes,
     /// The complete list: a server that is missing has been removed.
-    Whole,
+    Complete,
     /// The complete list as this node last stored it, possibly outdated; the controller asks for a new one.
     Stale,
     /// No entries: a call for the list failed or the subscription broke.
@@ -245,7 +245,7 @@
     /// total can't be read.
     Error,
     /// It was rejected without being executed. Counter call: nothing was added.
-    Full,
+    Rejected,
     /// No answer came in time; it may have been executed.
     TimedOut,
     /// No connection came up; it was not executed.
@@ -255,7 +255,7 @@
     /// It was cancelled; it may have been executed.
     Cancelled,
     /// It was never sent.
-    Ignored,
+    NotSent,
 }
 
 /// Progress of an attempt whose request or answer is too long to be buffered and is streamed.
@@ -306,7 +306,7 @@
         id: RequestId,
     },
     /// A long request or answer body is being streamed, so the request can't be sent again.
-    Streams {
+    Streaming {
         /// The request's id.
         id: RequestId,
         /// The attempt's index among the request's attempts, from 0.
@@ -317,15 +317,15 @@
     /// An attempt at a server has ended.
     Ended(Ended),
     /// The client has disconnected or given up: the request needs no answer any more.
-    Gone {
+    ClientGone {
         /// The request's id.
         id: RequestId,
     },
     /// A call to the counter ([`Action::Count`]) has ended.
-    Counted {
+    CounterReply {
         /// The key that was added to.
         name: CountName,
-        /// `Ok`: the amount was added. `Full`, `ConnectFailed`: it was not. `Error`: it was, but the total
+        /// `Ok`: the amount was added. `Rejected`, `ConnectFailed`: it was not. `Error`: it was, but the total
         /// can't be read. `Reset`, `TimedOut`: it may have been; after `Reset` the counter is known to be
         /// alive.
         outcome: Outcome,
@@ -348,14 +348,14 @@
     /// The node is shutting down and accepts no more requests: leases go back to the counter.
     Stopping,
     /// The set of nodes, and with it this node's index, has changed.
-    Placed {
+    NodesChanged {
         /// This node's index among the nodes, from 0.
         me: u32,
         /// Number of nodes in the deployment.
         nodes: u32,
     },
     /// The classes or the attempt limit have been reconfigured. Open requests keep their attempt limit.
-    Retuned {
+    SettingsChanged {
         /// All classes: the existing ones at their indices, then new ones. A shorter table than before is
         /// ignored, and `try_limit` with it.
         classes: Vec<Class>,
@@ -372,19 +372,19 @@
     /// It arrived too late, or was started too late, for an answer that still has its worth.
     Overdue,
     /// Its customer has as many attempts open as its plan allows, as far as this node can tell.
-    Places,
+    ConcurrencyQuota,
     /// Its customer's quota is exhausted, by the counter's last total.
-    Spent,
+    QuotaExhausted,
     /// A call to the counter is open for this customer, and the requests already waiting use up its units.
-    Asking,
+    LeasePending,
     /// The counter was not asked or is unavailable, and this node's even share of the quota is exhausted.
-    Share,
+    ShareExhausted,
     /// No eligible server became available in time.
     NoServer,
     /// No connection to its server came up.
     NoConnection,
     /// Its server rejected it without executing it, for instance because it is full or draining.
-    TurnedAway,
+    Rejected,
     /// Its server answered with an error.
     Error,
     /// Its server did not answer in time.
@@ -400,13 +400,13 @@
     pub const ALL: [Reason; 13] = [
         Reason::Overload,
         Reason::Overdue,
-        Reason::Places,
-        Reason::Spent,
-        Reason::Asking,
-        Reason::Share,
+        Reason::ConcurrencyQuota,
+        Reason::QuotaExhausted,
+        Reason::LeasePending,
+        Reason::ShareExhausted,
         Reason::NoServer,
         Reason::NoConnection,
-        Reason::TurnedAway,
+        Reason::Rejected,
         Reason::Error,
         Reason::TimedOut,
         Reason::Reset,
@@ -418,13 +418,13 @@
         match self {
             Reason::Overload => "overload",
             Reason::Overdue => "overdue",
-            Reason::Places => "places",
-            Reason::Spent => "spent",
-            Reason::Asking => "asking",
-            Reason::Share => "share",
+            Reason::ConcurrencyQuota => "places",
+            Reason::QuotaExhausted => "spent",
+            Reason::LeasePending => "asking",
+            Reason::ShareExhausted => "share",
             Reason::NoServer => "no_server",
             Reason::NoConnection => "no_connection",
-            Reason::TurnedAway => "turned_away",
+            Reason::Rejected => "turned_away",
             Reason::Error => "error",
             Reason::TimedOut => "timed_out",
             Reason::Reset => "reset",
@@ -437,12 +437,12 @@
     fn from(outcome: Outcome) -> Reason {
         match outcome {
             Outcome::ConnectFailed => Reason::NoConnection,
-            Outcome::Full => Reason::TurnedAway,
+            Outcome::Rejected => Reason::Rejected,
             Outcome::TimedOut => Reason::TimedOut,
             Outcome::Reset => Reason::Reset,
             Outcome::Cancelled => Reason::Cancelled,
             // An attempt is left unsent only where it would have been too late.
-            Outcome::Ignored => Reason::Overdue,
+            Outcome::NotSent => Reason::Overdue,
             Outcome::Ok | Outcome::Error => Reason::Error,
         }
     }
@@ -488,7 +488,7 @@
         /// The server's id.
         server: ServerId,
     },
-    /// Add an amount to a total of the counter service; [`Event::Counted`] brings the new total.
+    /// Add an amount to a total of the counter service; [`Event::CounterReply`] brings the new total.
     Count {
         /// The key of the total.
         name: CountName,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -17,8 +17,8 @@
 //! };
 //! let mut node = Controller::new(7, settings);
 //! let mut actions = Vec::new();
-//! let server = Member { server: ServerId(4), state: MemberState::In, ..Member::default() };
-//! node.handle(1_000, Event::Members { kind: ListKind::Whole, entries: vec![server] }, &mut actions);
+//! let server = Member { server: ServerId(4), state: MemberState::InService, ..Member::default() };
+//! node.handle(1_000, Event::Members { kind: ListKind::Complete, entries: vec![server] }, &mut actions);
 //! actions.clear();
 //! let request = NewRequest {
 //!     id: "r1".into(), customer: CustomerId(9), class: 0, plan: 0, units: 1.0,
--- a/crates/decisions/tests/common/fleet.rs
+++ b/crates/decisions/tests/common/fleet.rs
@@ -199,7 +199,7 @@
             random: seed,
         };
         let listed = if setup.warm_before { setup.servers } else { 0 };
-        (0..listed).for_each(|b| fleet.announce(b, MemberState::In, 0));
+        (0..listed).for_each(|b| fleet.announce(b, MemberState::InService, 0));
         (0..setup.nodes).for_each(|i| fleet.add_event(fleet.now + i as u64 * 7 * MS, Task::Tick(i)));
         fleet.add_event(fleet.now, Task::Arrival);
         fleet
@@ -318,7 +318,7 @@
                 }
                 Task::GiveUp(node, id) => {
                     if self.unanswered.remove(&(node, id.clone())) {
-                        self.event(node, Event::Gone { id });
+                        self.event(node, Event::ClientGone { id });
                     }
                 }
                 Task::Start(server) => {
@@ -326,7 +326,7 @@
                     (started.running, started.started, started.free_at) = (true, Some(at), [at; CORES]);
                     started.capacity = self.setup.capacity * self.setup.speed(server);
                     started.unreachable = false;
-                    self.announce(server, MemberState::In, at);
+                    self.announce(server, MemberState::InService, at);
                 }
                 Task::Replace(old) => {
                     let new = self.servers.len() as u32;
@@ -345,14 +345,14 @@
                         sent,
                     });
                     self.servers[old as usize].running = false;
-                    self.announce(old, MemberState::Out, 0);
-                    self.announce(new, MemberState::In, at);
+                    self.announce(old, MemberState::Removed, 0);
+                    self.announce(new, MemberState::InService, at);
                 }
                 Task::Unreachable(server) => {
                     let stopped = &mut self.servers[server as usize];
                     (stopped.running, stopped.unreachable) = (false, true);
                 }
-                Task::Unlist(server) => self.announce(server, MemberState::Out, 0),
+                Task::Unlist(server) => self.announce(server, MemberState::Removed, 0),
                 Task::Kill(nodes) => {
                     self.weights[..nodes].fill(0.0);
                     self.unanswered.retain(|(node, _)| *node >= nodes);
@@ -379,7 +379,7 @@
                         }
                     };
                     self.schedule.values_mut().for_each(lost);
-                    (0..self.setup.servers).for_each(|b| self.announce(b, MemberState::Out, 0));
+                    (0..self.setup.servers).for_each(|b| self.announce(b, MemberState::Removed, 0));
                 }
             }
         }
@@ -389,11 +389,11 @@
     /// Sends the complete server list to a node that has just started.
     fn send_full_list(&mut self, node: usize) {
         let listed = |(index, one): (usize, &SimServer)| {
-            member(FIRST_ID - index as u32, MemberState::In, one.started.unwrap_or(0))
+            member(FIRST_ID - index as u32, MemberState::InService, one.started.unwrap_or(0))
         };
         let running = self.servers.iter().enumerate().filter(|(_, one)| one.running);
         let entries = running.map(listed).collect();
-        self.event(node, Event::Members { kind: ListKind::Whole, entries });
+        self.event(node, Event::Members { kind: ListKind::Complete, entries });
     }
 
     /// Sends a change of the server list to all nodes.
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -63,8 +63,8 @@
     pub fn seeded(seed: u64, config: Settings, servers: u32) -> TestNode {
         let mut gateway =
             TestNode { now: 100 * SECOND, controller: Controller::new(seed, config), last_request: 0 };
-        let entries = (0..servers).map(|i| member(i, MemberState::In, 0)).collect();
-        gateway.event(Event::Members { kind: ListKind::Whole, entries });
+        let entries = (0..servers).map(|i| member(i, MemberState::InService, 0)).collect();
+        gateway.event(Event::Members { kind: ListKind::Complete, entries });
         gateway
     }
 
@@ -129,7 +129,7 @@
     }
 
     pub fn counter_reply(&mut self, name: CountName, outcome: Outcome, total: f64) -> Vec<Action> {
-        self.event(Event::Counted { name, outcome, total })
+        self.event(Event::CounterReply { name, outcome, total })
     }
 }
 
--- a/crates/decisions/tests/odd_settings.rs
+++ b/crates/decisions/tests/odd_settings.rs
@@ -31,7 +31,7 @@
 
 prop_compose! {
     fn members()(server in 0..40u32, weight in numbers(), started in spans(), zone in 0..3u32, out in 0..4u8) -> Member {
-        let state = [MemberState::In, MemberState::In, MemberState::Draining, MemberState::Out][out as usize];
+        let state = [MemberState::InService, MemberState::InService, MemberState::Draining, MemberState::Removed][out as usize];
         Member { weight, started, zone, ..member(server, state, 0) }
     }
 }
@@ -81,7 +81,7 @@
         let classes = config.classes.len();
         let mut gateway = TestNode::seeded(3, config, 0);
         for (number, entries) in lists.into_iter().enumerate() {
-            let kind = if number % 2 == 0 { ListKind::Whole } else { ListKind::Changes };
+            let kind = if number % 2 == 0 { ListKind::Complete } else { ListKind::Changes };
             gateway.event(Event::Members { kind, entries });
             for (i, &(class, delay, outcome_index)) in plays.iter().enumerate() {
                 gateway.advance(delay * MS);
@@ -95,8 +95,8 @@
             }
         }
         // One sound server, warm for a long time, and no traffic for a while.
-        let sound = vec![member(77, MemberState::In, 0)];
-        gateway.event(Event::Members { kind: ListKind::Whole, entries: sound });
+        let sound = vec![member(77, MemberState::InService, 0)];
+        gateway.event(Event::Members { kind: ListKind::Complete, entries: sound });
         for _ in 0..600 {
             gateway.advance(50 * MS);
             gateway.tick();
--- a/crates/decisions/tests/quotas.rs
+++ b/crates/decisions/tests/quotas.rs
@@ -463,7 +463,7 @@
 fn a_request_body_in_transit_does_not_count_towards_the_concurrency_quota() {
     let (mut gateway, mut counter) = (TestNode::new(limited(2, 1.2), 4), Counter::default());
     let streams = |gateway: &mut TestNode, id: &RequestId, stage| {
-        gateway.event(Event::Streams { id: id.clone(), attempt: 0, stage });
+        gateway.event(Event::Streaming { id: id.clone(), attempt: 0, stage });
     };
     let sending: Vec<_> = (0..2).flat_map(|_| admit(&mut gateway, &mut counter)).collect();
     assert_eq!(sending.len(), 2);
@@ -480,6 +480,6 @@
     gateway.end(&sending[0].0, 0, sending[0].1, Outcome::Ok);
     assert_eq!((0..3).flat_map(|_| admit(&mut gateway, &mut counter)).count(), 1);
     // One that ends in transit never counted, and frees nothing.
-    gateway.end(&sending[1].0, 0, sending[1].1, Outcome::Ignored);
+    gateway.end(&sending[1].0, 0, sending[1].1, Outcome::NotSent);
     assert!(admit(&mut gateway, &mut counter).is_empty());
 }
--- a/crates/decisions/tests/scale.rs
+++ b/crates/decisions/tests/scale.rs
@@ -16,7 +16,7 @@
 fn seeded_node(seed: u64, config: Settings, servers: Vec<Member>) -> TestNode {
     let mut gateway = TestNode::new(config.clone(), 0);
     gateway.controller = Controller::new(seed, config);
-    gateway.event(Event::Members { kind: ListKind::Whole, entries: servers });
+    gateway.event(Event::Members { kind: ListKind::Complete, entries: servers });
     gateway
 }
 
@@ -117,7 +117,8 @@
 
 #[test]
 fn with_nothing_pending_servers_are_chosen_in_proportion_to_size() {
-    let sized = |i: u32| Member { weight: if i < 2 { 3.0 } else { 2.0 }, ..member(i, MemberState::In, 0) };
+    let sized =
+        |i: u32| Member { weight: if i < 2 { 3.0 } else { 2.0 }, ..member(i, MemberState::InService, 0) };
     let mut gateway = seeded_node(3, Settings { nodes: 100, ..no_quota() }, (0..4).map(sized).collect());
     let mut small = 0;
     for _ in 0..200 {
@@ -136,7 +137,7 @@
 fn servers_that_fail_one_class_are_avoided_for_that_class_alone() {
     let mut others = 0;
     for seed in 1..=8 {
-        let servers = (0..4).map(|i| member(i, MemberState::In, 0)).collect();
+        let servers = (0..4).map(|i| member(i, MemberState::InService, 0)).collect();
         let mut gateway = seeded_node(seed, Settings { nodes: 100, ..no_quota() }, servers);
         let mut failed = 0;
         for i in 0..300 {
@@ -161,7 +162,7 @@
     let mut cold = 0;
     for seed in 0..200 {
         let started = 100 * SECOND - MS;
-        let age = |i: u32| member(i, MemberState::In, if i == 3 { started } else { 0 });
+        let age = |i: u32| member(i, MemberState::InService, if i == 3 { started } else { 0 });
         let mut gateway = seeded_node(seed, Settings { nodes: 200, ..no_quota() }, (0..4).map(age).collect());
         for _ in 0..5 {
             gateway.advance(200 * MS);
@@ -186,8 +187,10 @@
         // Each second one server is replaced by another under a new id.
         if k % 50 == 0 {
             let (old, new) = (k / 50, k / 50 + 4);
-            let entries =
-                vec![member(old as u32, MemberState::Out, 0), member(new as u32, MemberState::In, 0)];
+            let entries = vec![
+                member(old as u32, MemberState::Removed, 0),
+                member(new as u32, MemberState::InService, 0),
+            ];
             gateway.event(Event::Members { kind: ListKind::Changes, entries });
         }
         let asked = submit_new(&mut gateway, k, 3);
--- a/crates/decisions/tests/servers.rs
+++ b/crates/decisions/tests/servers.rs
@@ -19,7 +19,10 @@
         assert_eq!(server, ServerId(1));
         gateway.end(&id, 0, server, Outcome::Ok);
     }
-    gateway.event(Event::Members { kind: ListKind::Whole, entries: vec![member(0, MemberState::In, 0)] });
+    gateway.event(Event::Members {
+        kind: ListKind::Complete,
+        entries: vec![member(0, MemberState::InService, 0)],
+    });
     assert_eq!(send_one(&mut gateway, 0).1, ServerId(0), "a server missing from a complete list is removed");
 }
 
@@ -117,7 +120,7 @@
     let started = gateway.now - MS;
     gateway.event(Event::Members {
         kind: ListKind::Changes,
-        entries: vec![member(3, MemberState::In, started)],
+        entries: vec![member(3, MemberState::InService, started)],
     });
     let (mut cold, mut all) = (0, 0);
     for _ in 0..150 {
@@ -173,7 +176,7 @@
 fn stale_events_are_ignored() {
     let mut gateway = TestNode::new(no_quota(), 2);
     gateway.end(&"never".into(), 3, ServerId(99), Outcome::Ok);
-    gateway.event(Event::Gone { id: "never".into() });
+    gateway.event(Event::ClientGone { id: "never".into() });
     gateway.event(Event::Began { id: "never".into() });
     gateway.event(Event::Probed { server: ServerId(99), outcome: Outcome::Ok });
     gateway.counter_reply(CountName(5), Outcome::Ok, 3.0);
@@ -272,8 +275,8 @@
         let mut controller = Controller::new(9, no_quota());
         let mut out = Vec::new();
         memory.iter().for_each(|memory| controller.recall(old.now, memory));
-        let entries = (0..3).map(|i| member(i, MemberState::In, 0)).collect();
-        controller.handle(old.now, Event::Members { kind: ListKind::Whole, entries }, &mut out);
+        let entries = (0..3).map(|i| member(i, MemberState::InService, 0)).collect();
+        controller.handle(old.now, Event::Members { kind: ListKind::Complete, entries }, &mut out);
         let mut gateway = TestNode { now: old.now, controller, last_request: 0 };
         (0..10).filter(|_| send_one(&mut gateway, 2).1 == ServerId(0)).count()
     };
@@ -309,7 +312,7 @@
     change(&mut gateway, MemberState::Draining, 0);
     assert_eq!(serve(&mut gateway, 200)[0], 0);
     let now = gateway.now;
-    change(&mut gateway, MemberState::In, now);
+    change(&mut gateway, MemberState::InService, now);
     // Five seconds with three or four pending requests: one of the other servers always has almost none.
     assert!(serve(&mut gateway, 250)[0] >= 2, "a cold server is never chosen");
 }
@@ -348,7 +351,7 @@
     let mut gateway = TestNode::new(no_quota(), 4);
     steadily(&mut gateway, 20 * SECOND, |_| (60 * MS, Outcome::Ok));
     // Two servers restart cold; 8 s later each has at least 0.63 of its capacity, and the warm two begin to fail.
-    let entries = (2..4).map(|i| member(i, MemberState::In, gateway.now)).collect();
+    let entries = (2..4).map(|i| member(i, MemberState::InService, gateway.now)).collect();
     gateway.event(Event::Members { kind: ListKind::Changes, entries });
     let spent = |s: ServerId| if s.0 < 2 { 60 * MS } else { 90 * MS };
     steadily(&mut gateway, 8 * SECOND, |s| (spent(s), Outcome::Ok));
@@ -412,7 +415,7 @@
     steadily(&mut gateway, 10 * SECOND, |_| (60 * MS, Outcome::Ok));
     let sizes = [(1, 1.0), (2, 1.0), (3, 3.0)];
     let entries =
-        sizes.map(|(i, weight)| Member { weight, ..member(i, MemberState::In, gateway.now) }).to_vec();
+        sizes.map(|(i, weight)| Member { weight, ..member(i, MemberState::InService, gateway.now) }).to_vec();
     gateway.event(Event::Members { kind: ListKind::Changes, entries });
     // The warm server fails, so that the cold ones get all that their shares allow.
     let fails = |s: ServerId| (70 * MS, if s.0 == 0 { Outcome::Error } else { Outcome::Ok });
--- a/crates/node/src/net/counts/counter.rs
+++ b/crates/node/src/net/counts/counter.rs
@@ -157,7 +157,7 @@
     fn tell(&self, name: CountName, outcome: Outcome, total: f64) {
         self.open.set(self.open.get() - 1);
         if let Some(core) = self.core.upgrade() {
-            core.event(Event::Counted { name, outcome, total });
+            core.event(Event::CounterReply { name, outcome, total });
         }
     }
 }
@@ -223,7 +223,7 @@
                             if !call.told {
                                 match reply {
                                     Reply::Total(total) => teller.tell(call.name, Outcome::Ok, total),
-                                    Reply::Busy => teller.tell(call.name, Outcome::Full, 0.0),
+                                    Reply::Busy => teller.tell(call.name, Outcome::Rejected, 0.0),
                                 }
                             }
                         }
--- a/crates/node/src/net/counts/redis.rs
+++ b/crates/node/src/net/counts/redis.rs
@@ -28,7 +28,7 @@
     let incarnation = RandomState::new().hash_one(std::process::id());
     let tell = move |name, outcome, total| {
         if let Some(core) = core.upgrade() {
-            core.event(Event::Counted { name, outcome, total });
+            core.event(Event::CounterReply { name, outcome, total });
         }
     };
     RedisStore::new(server, wait, incarnation, Rc::new(tell))
--- a/crates/node/src/net/servers.rs
+++ b/crates/node/src/net/servers.rs
@@ -142,7 +142,7 @@
                 Ok(Ok(line)) => line,
                 // Nothing has been written.
                 Err(_) | Ok(Err(NoLine::Failed)) => return (Outcome::ConnectFailed, None),
-                Ok(Err(NoLine::Shed)) => return (Outcome::Ignored, None),
+                Ok(Err(NoLine::Shed)) => return (Outcome::NotSent, None),
             };
             if self.vigil.behind() {
                 // Danger: what forbids this app server may lie unread.
@@ -163,7 +163,7 @@
                 None => {
                     // An earlier attempt has taken of the body: this one can't be made.
                     let Some(body) = forward.body.body(&self.core, id, number) else {
-                        return (Outcome::Ignored, None);
+                        return (Outcome::NotSent, None);
                     };
                     build(forward, body, host, left)
                 }
@@ -179,7 +179,7 @@
             };
             if upload.is_some_and(|upload| upload.broken()) {
                 // The client broke it off: it has not run, and the app server has done nothing wrong.
-                return (Outcome::Ignored, None);
+                return (Outcome::NotSent, None);
             }
             if !matches!(answer, Err(Broken::Unwritten(_))) {
                 self.pool.reuse.ended(idle, matches!(answer, Err(Broken::Doubtful)) && !heard.begun());
@@ -204,7 +204,7 @@
                         }
                         Ok(End::Broken) => (Outcome::Reset, None),
                         // The client has gone.
-                        Err(_) => (Outcome::Ignored, None),
+                        Err(_) => (Outcome::NotSent, None),
                     };
                 }
                 // Not a byte was written to a kept connection that turned out closed: this is still the same
--- a/crates/node/src/net/servers/discovery.rs
+++ b/crates/node/src/net/servers/discovery.rs
@@ -135,7 +135,7 @@
                     self.backoff.iter().for_each(|b| b.borrow_mut().served());
                     let nothing = list.endpoints.is_empty() && !list.snapshot && self.index.get().is_some();
                     let whole = list.snapshot || self.index.get().is_none();
-                    let kind = if whole { ListKind::Whole } else { ListKind::Changes };
+                    let kind = if whole { ListKind::Complete } else { ListKind::Changes };
                     // Danger: a fetch may have brought a newer list meanwhile; older changes would undo it.
                     let old = kind == ListKind::Changes && Some(list.index) < self.index.get();
                     if !nothing && !old {
@@ -186,7 +186,7 @@
 
     fn take(&self, list: List, kind: ListKind) {
         self.index.set(Some(list.index));
-        self.heard.set(self.heard.get() || kind == ListKind::Whole);
+        self.heard.set(self.heard.get() || kind == ListKind::Complete);
         self.members.take(kind, list.endpoints);
     }
 }
@@ -204,7 +204,7 @@
             match answer {
                 // The watch may have brought something newer meanwhile.
                 Ok(list) if Some(list.index) >= discovery.index.get() => {
-                    discovery.take(list, ListKind::Whole);
+                    discovery.take(list, ListKind::Complete);
                 }
                 Ok(_) => {}
                 Err(failure) => {
--- a/crates/node/src/net/servers/members.rs
+++ b/crates/node/src/net/servers/members.rs
@@ -65,7 +65,7 @@
             let (state, since_ms) = self.effective(told);
             if (state, since_ms) != told.passed_on {
                 told.passed_on = (state, since_ms);
-                self.upstream.set(id, None, since_ms, state == MemberState::In);
+                self.upstream.set(id, None, since_ms, state == MemberState::InService);
                 let started = since_ms.saturating_mul(1000);
                 entries.push(Member { state, started, ..told.member.clone() });
             }
@@ -79,7 +79,8 @@
     pub fn figures(&self) -> MemberFigures {
         let told = self.told.borrow();
         let avoids = |id| self.core.upgrade().is_some_and(|core| core.avoids(id));
-        let avoided = told.iter().filter(|(&id, t)| t.passed_on.0 != MemberState::In || avoids(id)).count();
+        let avoided =
+            told.iter().filter(|(&id, t)| t.passed_on.0 != MemberState::InService || avoids(id)).count();
         MemberFigures { listed: told.len(), avoided }
     }
 
@@ -92,7 +93,7 @@
     /// State and start as they hold here. What operators hold out is as one that drains, whatever its source says.
     fn effective(&self, told: &Told) -> (MemberState, u64) {
         let state = match told.member.state {
-            MemberState::In if self.shared.holds(&told.name) => MemberState::Draining,
+            MemberState::InService if self.shared.holds(&told.name) => MemberState::Draining,
             state => state,
         };
         (state, self.shared.started(&told.name, told.since_ms))
@@ -133,10 +134,11 @@
         let (state, since_ms) = self.effective(&told);
         told.passed_on = (state, since_ms);
         let entry = Member { state, started: since_ms.saturating_mul(1000), ..told.member.clone() };
-        if state == MemberState::Out {
+        if state == MemberState::Removed {
             all.remove(&server);
             self.upstream.remove(server);
-        } else if self.upstream.set(server, e.address.parse().ok(), since_ms, state == MemberState::In) {
+        } else if self.upstream.set(server, e.address.parse().ok(), since_ms, state == MemberState::InService)
+        {
             all.insert(server, told);
         } else {
             eprintln!("pinerelay: discovery: {} has no usable address", told.name);
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/list.rs
@@ -46,8 +46,8 @@
     /// The state, if the status is one that the protocol knows.
     pub fn state(&self) -> Option<MemberState> {
         match self.status.as_str() {
-            "up" => Some(MemberState::In),
-            "removed" => Some(MemberState::Out),
+            "up" => Some(MemberState::InService),
+            "removed" => Some(MemberState::Removed),
             "draining" => Some(MemberState::Draining),
             _ => None,
         }
--- a/crates/protocol/src/outcome.rs
+++ b/crates/protocol/src/outcome.rs
@@ -24,7 +24,7 @@
     let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     match body {
         // The head alone says that it has not run, whatever became of the rest.
-        _ if turned_away && not_run => Outcome::Full,
+        _ if turned_away && not_run => Outcome::Rejected,
         BodyEnd::Broken => Outcome::Reset,
         BodyEnd::Spoilt => Outcome::Error,
         BodyEnd::Whole if status == StatusCode::OK => Outcome::Ok,
@@ -56,7 +56,7 @@
             assert_eq!(says(status, "", Whole), Outcome::Error);
             assert_eq!(says(status, "0", Whole), Outcome::Error);
             for body in [Whole, Broken, Spoilt] {
-                assert_eq!(says(status, "1", body), Outcome::Full);
+                assert_eq!(says(status, "1", body), Outcome::Rejected);
             }
         }
     }
--- a/crates/proxy/src/response_class.rs
+++ b/crates/proxy/src/response_class.rs
@@ -64,7 +64,7 @@
     /// How the attempt ended, as the decisions see it.
     pub fn outcome(self) -> Outcome {
         match self {
-            ResponseClass::NotExecuted => Outcome::Full,
+            ResponseClass::NotExecuted => Outcome::Rejected,
             ResponseClass::Misdirected => Outcome::ConnectFailed,
             ResponseClass::Answer => Outcome::Ok,
             ResponseClass::ServerError | ResponseClass::Untrusted => Outcome::Error,
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -243,7 +243,7 @@
     pub fn placed(&self, index: u32, proxies: u32) {
         self.place.set((index, proxies));
         for service in self.services.borrow().values() {
-            service.node.event(Event::Placed { me: index, nodes: proxies });
+            service.node.event(Event::NodesChanged { me: index, nodes: proxies });
         }
     }
 
@@ -291,13 +291,13 @@
     /// A server as the decisions know it.
     fn member(&self, number: ServerId, server: Option<&Server>) -> Member {
         let Some(server) = server else {
-            let state = MemberState::Out;
+            let state = MemberState::Removed;
             return Member { server: number, zone: OWN_ZONE, state, weight: 1.0, ..Member::default() };
         };
         let state = match server.state {
-            ServerState::Ready => MemberState::In,
+            ServerState::Ready => MemberState::InService,
             ServerState::Draining => MemberState::Draining,
-            ServerState::Lost | ServerState::Gone => MemberState::Out,
+            ServerState::Lost | ServerState::Gone => MemberState::Removed,
         };
         let warm_at = self.clock.now() + u64::from(server.warmup_ms) * 1_000;
         let started = if server.warmup_ms > 0 { warm_at.saturating_sub(SLOW_START) } else { 0 };
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -172,7 +172,7 @@
         let connect = self.servers().connect(self.server, new_only, connect_by - Instant::now());
         let connection = match timeout_at(connect_by, connect).await {
             Ok(Ok(connection)) => connection,
-            Ok(Err(ConnectError::Exhausted)) => return Err(Outcome::Full),
+            Ok(Err(ConnectError::Exhausted)) => return Err(Outcome::Rejected),
             Ok(Err(ConnectError::Failed)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         let vigil = &self.servers().common.vigil;
@@ -202,7 +202,7 @@
             unwanted => {
                 self.servers().return_unused(self.server, connection, generation, idle);
                 unwanted.into_iter().for_each(|message| give_back(message.into_body()));
-                return ControlFlow::Break(Outcome::Ignored.into());
+                return ControlFlow::Break(Outcome::NotSent.into());
             }
         };
         let execution_before = self.note_sending();
@@ -224,7 +224,7 @@
         }
         if self.upload().is_some_and(|upload| upload.broken()) {
             // The client broke it off: the server has done nothing wrong.
-            return ControlFlow::Break(Outcome::Ignored.into());
+            return ControlFlow::Break(Outcome::NotSent.into());
         }
         let connection = AttemptConnection { connection, generation, is_reused: idle.is_some() };
         self.conclude(result, connection, execution_before).await
@@ -274,7 +274,7 @@
         match end.outcome {
             Outcome::Ok => observation.end(end.response.as_ref().is_some_and(is_error)),
             Outcome::Error | Outcome::Reset | Outcome::TimedOut => observation.end(true),
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Ignored => {
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::NotSent => {
                 observation.forget();
             }
         }
@@ -354,7 +354,7 @@
             }
             Ok(End::Broken) => Outcome::Reset,
             // The client has gone.
-            Err(_) => Outcome::Ignored,
+            Err(_) => Outcome::NotSent,
         }
     }
 
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -179,7 +179,7 @@
     play(async |play| {
         let promised = forward();
         promised.state.is_withdrawn.set(true);
-        expect_that!(play.attempt(promised, 1_000_000).await, eq((Outcome::Ignored, false)));
+        expect_that!(play.attempt(promised, 1_000_000).await, eq((Outcome::NotSent, false)));
         expect_that!((play.servers.counts().sent, play.told.try_recv().is_err()), eq((0, true)));
         // The connection that was made for it serves the next one.
         expect_that!(play.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
@@ -194,7 +194,7 @@
         expect_that!(play.told.try_recv().is_ok(), eq(true));
         // A connection is there at once.
         let (outcome, answered) = play.attempt(forward(), -1_000).await;
-        expect_that!((outcome, answered), eq((Outcome::Ignored, false)));
+        expect_that!((outcome, answered), eq((Outcome::NotSent, false)));
         expect_that!((play.servers.counts().sent, play.told.try_recv().is_err()), eq((1, true)));
     });
 }
@@ -204,12 +204,12 @@
     play(async |play| {
         let broken = ProxiedRequest { body: Payload::Whole(Bytes::from_static(b"another")), ..forward() };
         let state = broken.state.clone();
-        expect_that!(play.attempt(broken, 1_000_000).await, eq((Outcome::Ignored, false)));
+        expect_that!(play.attempt(broken, 1_000_000).await, eq((Outcome::NotSent, false)));
         expect_that!(state.violation.get(), some(eq(ForwardingViolation::BodyFraming)));
         expect_that!((play.servers.counts().sent, play.told.try_recv().is_err()), eq((0, true)));
         expect_that!(
             play.attempt(forward(), 3_000_000).await,
-            eq((Outcome::Ignored, false)),
+            eq((Outcome::NotSent, false)),
             "more time than it has"
         );
         expect_that!(play.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
@@ -225,7 +225,7 @@
         while begun.elapsed() < Duration::from_millis(900) {
             let withdrawn = forward();
             withdrawn.state.is_withdrawn.set(true);
-            expect_that!(play.attempt(withdrawn, 1_000_000).await, eq((Outcome::Ignored, false)));
+            expect_that!(play.attempt(withdrawn, 1_000_000).await, eq((Outcome::NotSent, false)));
         }
         expect_that!(play.servers.counts().opened, eq(2), "connections opened");
     });
@@ -287,9 +287,9 @@
         // Neither a withdrawn request nor one that fails a check takes anything of the body.
         let withdrawn = forward_long(&upload, LENGTH as u64);
         withdrawn.state.is_withdrawn.set(true);
-        expect_that!(play.attempt(withdrawn, 1_000_000).await, eq((Outcome::Ignored, false)));
+        expect_that!(play.attempt(withdrawn, 1_000_000).await, eq((Outcome::NotSent, false)));
         let other_length = forward_long(&upload, 1 + LENGTH as u64);
-        expect_that!(play.attempt(other_length, 1_000_000).await, eq((Outcome::Ignored, false)));
+        expect_that!(play.attempt(other_length, 1_000_000).await, eq((Outcome::NotSent, false)));
         expect_that!((play.servers.counts().sent, server.connections().concat().len()), eq((0, 0)));
         expect_that!(
             play.attempt(forward_long(&upload, LENGTH as u64), 2_000_000).await,
@@ -298,7 +298,7 @@
         expect_that!(server.connections().concat(), ends_with(format!("\r\n\r\n{body}")));
         // What has been sent is not there for another attempt.
         let again = forward_long(&upload, LENGTH as u64);
-        expect_that!(play.attempt(again, 1_000_000).await, eq((Outcome::Ignored, false)));
+        expect_that!(play.attempt(again, 1_000_000).await, eq((Outcome::NotSent, false)));
         expect_that!(play.servers.counts().sent, eq(1));
         expect_that!(server.requests().iter().sum::<usize>(), eq(1));
     });
--- a/crates/store-redis/src/store.rs
+++ b/crates/store-redis/src/store.rs
@@ -352,7 +352,7 @@
             }
             Some(Err(error)) if !lost => {
                 self.shared.log(&format!("it refuses: {}", words(&error)));
-                self.shared.not_added(&call, Outcome::Full);
+                self.shared.not_added(&call, Outcome::Rejected);
             }
             // To ask again counts nothing twice. Once, and on another connection; a store that moved is asked there.
             _ if !call.again || self.shared.moves.get() != self.moves => {
--- a/crates/store-redis/tests/store.rs
+++ b/crates/store-redis/tests/store.rs
@@ -135,7 +135,7 @@
             let node = Node::new(server(&redis), LONG, 1);
             assert_eq!(node.add(4.0).await, (Outcome::Ok, 4.0));
             redis.feel(|m| m.refusal = Some(refusal));
-            assert_eq!(node.add(3.0).await, (Outcome::Full, 0.0), "{refusal:?}");
+            assert_eq!(node.add(3.0).await, (Outcome::Rejected, 0.0), "{refusal:?}");
             redis.feel(|m| m.refusal = None);
             assert_eq!(node.add(1.0).await, (Outcome::Ok, 5.0), "{refusal:?}");
             redis.feel(|m| m.refusal = Some(refusal));
--- a/crates/traffic/src/node.rs
+++ b/crates/traffic/src/node.rs
@@ -123,7 +123,7 @@
     /// New settings: the whole table of classes, and the most attempts for one request. Open requests keep theirs.
     pub fn retune(&self, classes: Vec<Class>, try_limit: u32) {
         self.try_limit.set(try_limit.max(1) as usize);
-        self.event(Event::Retuned { classes, try_limit });
+        self.event(Event::SettingsChanged { classes, try_limit });
     }
 
     /// Whether a client still waits for an answer.
@@ -143,7 +143,7 @@
             let waited = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
             if let Some(sender) = waited {
                 let _ = sender.send(Answer::Failed(Reason::TimedOut));
-                self.event(Event::Gone { id });
+                self.event(Event::ClientGone { id });
             }
         }
     }
@@ -214,7 +214,7 @@
     pub fn gone(&self, id: &RequestId) {
         let waited = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
         if waited.is_some() {
-            self.event(Event::Gone { id: id.clone() });
+            self.event(Event::ClientGone { id: id.clone() });
             self.break_off(id);
         }
     }
@@ -231,7 +231,7 @@
         for (number, task) in out {
             // Closes the connection: so its server learns of it.
             task.abort();
-            self.end(id, number, Outcome::Ignored, None);
+            self.end(id, number, Outcome::NotSent, None);
         }
     }
 
@@ -272,7 +272,7 @@
             let _ = sender.send(answer);
         }
         if served {
-            self.event(Event::Gone { id: id.clone() });
+            self.event(Event::ClientGone { id: id.clone() });
             self.break_off(id);
         }
         self.forget(id);
@@ -326,7 +326,7 @@
             open.attempts.push(attempt);
             let finished = open.answer.is_none();
             drop(requests);
-            return self.ended(&id, number, server, Outcome::Ignored, 0, finished);
+            return self.ended(&id, number, server, Outcome::NotSent, 0, finished);
         }
         let stop = if timeout > 0 { open.stop.min(now + timeout) } else { open.stop };
         let task = self.peers.upstream.attempt(id, number, server, open.forward.clone(), stop);
@@ -374,7 +374,7 @@
             let Some(event) = self.events.borrow_mut().pop_front() else { break };
             let over = match &event {
                 Event::Ended(e) => Some(e.id.clone()),
-                Event::Gone { id } => Some(id.clone()),
+                Event::ClientGone { id } => Some(id.clone()),
                 _ => None,
             };
             self.controller.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -390,7 +390,7 @@
 
     fn upload_goes(&self, id: &RequestId, number: usize, whole: bool) {
         let stage = if whole { Stage::Sent } else { Stage::Sending };
-        self.event(Event::Streams { id: id.clone(), attempt: number as u32, stage });
+        self.event(Event::Streaming { id: id.clone(), attempt: number as u32, stage });
     }
 
     fn avoids(&self, server: ServerId) -> bool {
@@ -414,7 +414,7 @@
     fn answer_begins(&self, id: &RequestId, number: usize, answer: T::Long) -> bool {
         let waits = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
         let sent = waits.is_some_and(|sender| sender.send(Answer::Long(answer)).is_ok());
-        self.event(Event::Streams { id: id.clone(), attempt: number as u32, stage: Stage::Answering });
+        self.event(Event::Streaming { id: id.clone(), attempt: number as u32, stage: Stage::Answering });
         sent
     }
 }
--- a/crates/traffic/src/ports.rs
+++ b/crates/traffic/src/ports.rs
@@ -60,7 +60,7 @@
 /// Where the shared counts live: an amount is added to a named count in one step, and its total comes back.
 pub trait QuotaStore {
     /// Adds `amount` units to a name that, if new, is kept for `keep_for` microseconds. Told once, as
-    /// [`Event::Counted`], at the store's time-out at the latest: `Ok` (added; the total), `Full` and
+    /// [`Event::CounterReply`], at the store's time-out at the latest: `Ok` (added; the total), `Rejected` and
     /// `ConnectFailed` (nothing was added), `TimedOut` (it may have been, or may yet be), `Reset` (it may have
     /// been, and the store is alive), `Error` (it was, but the total can't be read).
     fn add(&self, name: CountName, amount: f64, keep_for: Micros);
--- a/crates/traffic/tests/supersede.rs
+++ b/crates/traffic/tests/supersede.rs
@@ -135,7 +135,7 @@
         };
         node.retune(vec![class], 3);
         let member = |n| Member { server: ServerId(n), weight: 4.0, ..Member::default() };
-        node.event(Event::Members { kind: ListKind::Whole, entries: (1..4).map(member).collect() });
+        node.event(Event::Members { kind: ListKind::Complete, entries: (1..4).map(member).collect() });
         Play { node, servers: servers.expect("made with the node") }
     }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -85,11 +85,11 @@
     Knock(Knock),
     /// An attempt has ended: [`Event::Ended`].
     Ended(WireEnded),
-    /// The client has given up the request: [`Event::Gone`].
+    /// The client has given up the request: [`Event::ClientGone`].
     Expired { xid: String },
     /// The answer has begun to stream to the client: [`Event::Began`].
     AckFirst { xid: String },
-    /// A counter call has ended: [`Event::Counted`] for the total `book`, which is `value` now.
+    /// A counter call has ended: [`Event::CounterReply`] for the total `book`, which is `value` now.
     TallyBack {
         book: u64,
         state_code: Code,
@@ -244,12 +244,12 @@
         match code {
             Code::Ok => Outcome::Ok,
             Code::Failed => Outcome::Error,
-            Code::QueueFull => Outcome::Full,
+            Code::QueueFull => Outcome::Rejected,
             Code::TimedOut => Outcome::TimedOut,
             Code::ConnectError => Outcome::ConnectFailed,
             Code::ResetByPeer => Outcome::Reset,
             Code::Canceled => Outcome::Cancelled,
-            Code::Ignored => Outcome::Ignored,
+            Code::Ignored => Outcome::NotSent,
         }
     }
 }
@@ -258,7 +258,7 @@
     fn from(how: How) -> Self {
         match how {
             How::Incr => ListKind::Changes,
-            How::Total => ListKind::Whole,
+            How::Total => ListKind::Complete,
             How::WarmCopy => ListKind::Stale,
             How::Lost => ListKind::Lost,
         }
@@ -273,9 +273,9 @@
             kind: entry.family_type,
             cell: entry.block,
             state: match entry.condition {
-                Condition::In => MemberState::In,
+                Condition::In => MemberState::InService,
                 Condition::Lame => MemberState::Draining,
-                Condition::Out => MemberState::Out,
+                Condition::Out => MemberState::Removed,
             },
             weight: entry.weight.unwrap_or(1.0),
             started: entry.last_start,
@@ -313,10 +313,10 @@
             finished: end.finished,
             final_units: end.final_units,
         }),
-        Message::Expired { xid } => Event::Gone { id: xid.as_str().into() },
+        Message::Expired { xid } => Event::ClientGone { id: xid.as_str().into() },
         Message::AckFirst { xid } => Event::Began { id: xid.as_str().into() },
         Message::TallyBack { book, state_code, value } => {
-            Event::Counted { name: CountName(book), outcome: state_code.into(), total: value }
+            Event::CounterReply { name: CountName(book), outcome: state_code.into(), total: value }
         }
         Message::ProbeDone { server, state_code } => {
             Event::Probed { server: ServerId(server), outcome: state_code.into() }
