--- a/crates/admission/src/lease_cache/tenant.rs
+++ b/crates/admission/src/lease_cache/tenant.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use mountbend::measure::{lot, Bucket, Rate};
+use mountbend::measure::{uniform, Bucket, Rate};
 use mountbend::schedule::Schedule;
 
 use super::{Admission, Decision, RequestId};
@@ -192,7 +192,7 @@
     /// Rejects a client's request, with a time to return that is spaced past the latest promised one, or without a time if too many
     /// promised returns are open. A promised return is not deferred again.
     pub(super) fn reject(&mut self, now: Micros, proxies: usize) -> Admission {
-        if self.schedule.returns(now, CLIENT_RETURN_WINDOW) {
+        if self.schedule.redeem(now, CLIENT_RETURN_WINDOW) {
             return Admission::Rejected;
         }
         let even_rate = self.quota.rate / proxies.max(1) as f64;
@@ -238,7 +238,7 @@
     /// Schedules the next lease request without a client's request, with a pseudorandom part seeded by the time.
     fn schedule_probe(&mut self, now: Micros) {
         let mut seed = now;
-        let spread = lot(&mut seed) * PROBE_SPREAD;
+        let spread = uniform(&mut seed) * PROBE_SPREAD;
         self.probe_at = now + (PROBE_INTERVAL as f64 * (1.0 - spread)) as Micros;
     }
 
--- a/crates/admission/src/lease_cache/tests.rs
+++ b/crates/admission/src/lease_cache/tests.rs
@@ -1,7 +1,7 @@
 //! Quotas hold over all proxies together, also under faults; lease requests and promised returns of one proxy.
 
 use googletest::prelude::*;
-use mountbend::measure::lot;
+use mountbend::measure::uniform;
 
 use super::*;
 use crate::lease::Usage;
@@ -27,7 +27,7 @@
     let has_faults = faults != Faults::None;
     let bounds = QuotaBounds::default();
     let mut random = seed;
-    let mut random_below = |end: f64| lot(&mut random) * end;
+    let mut random_below = |end: f64| uniform(&mut random) * end;
     let mut allocator = QuotaAllocator::new(0, QUOTA);
     let mut caches: Vec<LeaseCache> = (0..proxies).map(|_| LeaseCache::new()).collect();
     caches.iter_mut().for_each(|cache| cache.set_proxies(proxies));
--- a/crates/admission/src/quota_allocator/tests.rs
+++ b/crates/admission/src/quota_allocator/tests.rs
@@ -16,8 +16,8 @@
     let mut random = 9;
     let mut now = 0;
     for _ in 0..5_000 {
-        now += (mountbend::measure::lot(&mut random) * 20_000.0) as Micros;
-        let count = (mountbend::measure::lot(&mut random) * 8.0).floor();
+        now += (mountbend::measure::uniform(&mut random) * 20_000.0) as Micros;
+        let count = (mountbend::measure::uniform(&mut random) * 8.0).floor();
         if let Ok(units) = allocator.draw(now, "n", false, &usage(count, 0.0)).units {
             granted.push((now, units));
         }
@@ -53,7 +53,7 @@
     let mut random = 4;
     let mut held_shares = [0.0; 10];
     for step in 1..2_000_u64 {
-        let node = (mountbend::measure::lot(&mut random) * 10.0) as usize;
+        let node = (mountbend::measure::uniform(&mut random) * 10.0) as usize;
         // The proxy with the highest demand changes halfway through.
         let busy = if step < 1_000 { 2 } else { 7 };
         let count = if node == busy { 8.0 } else { 1.0 };
--- a/crates/admission/src/retry_budget/tests.rs
+++ b/crates/admission/src/retry_budget/tests.rs
@@ -27,7 +27,7 @@
     for now in (0..40_000_000_u64).step_by(5_000) {
         // Low load, then high load, then low load.
         let busy = (10_000_000..25_000_000).contains(&now);
-        let node = (mountbend::measure::lot(&mut random) * 11.0) as usize;
+        let node = (mountbend::measure::uniform(&mut random) * 11.0) as usize;
         if busy || now % 50_000 == 0 {
             nodes[node].count_request(now, "s");
             requests.push(now);
--- a/crates/admission/tests/duty.rs
+++ b/crates/admission/tests/duty.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use googletest::prelude::*;
-use mountbend::measure::lot;
+use mountbend::measure::uniform;
 use pinerelay_admission::duty::{DutyAction, DutyMessage, DutyTable, Voters, JOINT_PERIOD, SLICE_COUNT};
 use pinerelay_admission::Micros;
 
@@ -75,7 +75,7 @@
     let names: Vec<String> = (0..nodes).map(|n| format!("n{n}")).collect();
     let node_count = nodes as u64;
     let mut random = seed;
-    let mut random_below = |end: u64| (lot(&mut random) * end as f64) as u64;
+    let mut random_below = |end: u64| (uniform(&mut random) * end as f64) as u64;
     let mut epochs = vec![first_voters(&names)];
     let mut last_change = 0;
     let mut sim_nodes: Vec<SimulatedNode> = names
--- a/crates/credit/src/random_load/world.rs
+++ b/crates/credit/src/random_load/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use mountbend::measure::lot;
+use mountbend::measure::uniform;
 
 use crate::account::{Account, Record};
 use crate::credit_cache::CreditCache;
@@ -184,7 +184,7 @@
 
     /// A random number below a bound.
     pub(super) fn random_below(&mut self, bound: u64) -> u64 {
-        (lot(&mut self.random) * bound as f64) as u64
+        (uniform(&mut self.random) * bound as f64) as u64
     }
 
     pub(super) fn one_in(&mut self, bound: u64) -> bool {
--- a/crates/decisions/src/control.rs
+++ b/crates/decisions/src/control.rs
@@ -15,7 +15,7 @@
     Action, CountName, CustomerId, Effect, Ended, Event, Group, ListKind, Member, MemberState, Micros,
     NewRequest, Outcome, Plan, Reason, RequestId, ServerId, Settings, Stage,
 };
-use crate::measure::{lot, mix, Bucket, DecayingMean, Rate, GOLDEN};
+use crate::measure::{mix, uniform, Bucket, DecayingMean, Rate, GOLDEN};
 use crate::schedule::Schedule;
 use leases::{Call, Draw, COUNT_TTL};
 
@@ -239,7 +239,7 @@
     }
 
     /// How many customers and servers the controller keeps state of.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn state_counts(&self) -> (usize, usize) {
         (self.customers.len(), self.servers.len())
     }
 
--- a/crates/decisions/src/control/choice.rs
+++ b/crates/decisions/src/control/choice.rs
@@ -2,8 +2,8 @@
 
 use super::overload::MEAN_SPAN;
 use super::{
-    lot, Action, BTreeMap, Bucket, Controller, DecayingMean, Effect, Group, ListKind, Member, MemberState,
-    Micros, Rate, RequestId, Server, ServerId, DONE_SPAN, FAIL_SPAN, PLAN_KINDS, RATE_SPAN,
+    uniform, Action, BTreeMap, Bucket, Controller, DecayingMean, Effect, Group, ListKind, Member,
+    MemberState, Micros, Rate, RequestId, Server, ServerId, DONE_SPAN, FAIL_SPAN, PLAN_KINDS, RATE_SPAN,
 };
 use crate::ring;
 
@@ -50,7 +50,7 @@
         }
         for m in entries {
             // A random part: with a whole request each a hundred nodes would overload a cold server at once.
-            let slow_start = Bucket { store: lot(&mut self.random), at: now };
+            let slow_start = Bucket { store: uniform(&mut self.random), at: now };
             let (started, latency) = (m.started, self.latency);
             let known = self.restored.remove(&m.server);
             let (latency, failures) = known.unwrap_or((latency, BTreeMap::new()));
@@ -97,7 +97,7 @@
     /// Updates whether a server is surely warm, and the rate and latency of warm servers. The rate is that of
     /// answers: the rate sent doubles as servers die, and goes to the last that is listed.
     pub(super) fn measure_warm(&mut self) {
-        let (now, cold) = (self.now, self.settings.rules.cold);
+        let (now, cold) = (self.now, self.settings.cold_start.cold);
         let warm = |s: &&Server| s.started == 0 || now >= s.started.saturating_add(cold);
         self.any_warm = self.servers.values().filter(|s| s.listed).any(|s| warm(&s));
         // A failing server gets almost no requests, and so shows nothing of what a sound one can answer.
@@ -146,13 +146,13 @@
 
     /// The share of capacity that a server has by now at least. Its speed shows nothing where all are cold.
     pub(super) fn warmth(&self, s: &Server) -> f64 {
-        let rules = &self.settings.rules;
-        if s.started == 0 || rules.cold == 0 {
+        let cold_start = &self.settings.cold_start;
+        if s.started == 0 || cold_start.cold == 0 {
             return 1.0;
         }
-        let age = self.now.saturating_sub(s.started) as f64 / rules.cold as f64;
+        let age = self.now.saturating_sub(s.started) as f64 / cold_start.cold as f64;
         let pace = if self.any_warm && s.latency < self.base { COLD_PACE } else { 1.0 };
-        (pace * (rules.cold_from + (1.0 - rules.cold_from) * age)).min(1.0)
+        (pace * (cold_start.cold_from + (1.0 - cold_start.cold_from) * age)).min(1.0)
     }
 
     /// The time after which an attempt at a server is overdue, in microseconds. A cold server takes several
@@ -230,7 +230,7 @@
             }
             let load = s.in_flight.iter().filter(|&&sent| sent >= s.eject_end).count() as f64;
             let slowness = (s.latency / self.latency).clamp(0.25, 4.0);
-            let draw = -(1.0 - lot(&mut self.random)).ln();
+            let draw = -(1.0 - uniform(&mut self.random)).ln();
             let boost = if warmth < 1.0 { 1.0 + COLD_BOOST } else { 1.0 };
             let cost = slowness * (load + 1.0 - noise + noise * draw) / (s.size * warmth.max(0.05) * boost);
             let far =
--- a/crates/decisions/src/control/leases.rs
+++ b/crates/decisions/src/control/leases.rs
@@ -2,7 +2,7 @@
 
 use super::overload::SHED_DEAREST;
 use super::{
-    lot, mix, Action, Bucket, Controller, CountName, Customer, CustomerId, Micros, Outcome, Plan, Reason,
+    mix, uniform, Action, Bucket, Controller, CountName, Customer, CustomerId, Micros, Outcome, Plan, Reason,
     RequestId, COUNTER_BACKOFF, FAIL_SPAN, GOLDEN, RATE_SPAN,
 };
 
@@ -116,7 +116,7 @@
         self.mean_stake += (stake - self.mean_stake) * if may_wait { 0.02 } else { 0.0 };
         let odds = self.ask_share * (stake / self.mean_stake.max(1e-9)).clamp(0.2, 5.0);
         let chance = odds / (1.0 - self.ask_share + odds);
-        if up && lot(&mut self.random) < chance {
+        if up && uniform(&mut self.random) < chance {
             c.unasked_per_call = if guessed { 1.0 / chance - 1.0 } else { 0.0 };
             self.refill(key, units + queued, out);
             return Draw::Pending;
@@ -201,9 +201,9 @@
             }
         } else if !unclear {
             // The counter is silent or overloaded: exponential backoff, with jitter to spread the nodes.
-            let backoff = self.counter_backoff;
-            self.counter_up_at = now + backoff / 2 + (lot(&mut self.random) * backoff as f64 / 2.0) as Micros;
-            self.counter_backoff = (backoff * 2).min(COUNTER_BACKOFF_MAX);
+            let delay = self.counter_backoff;
+            self.counter_up_at = now + delay / 2 + (uniform(&mut self.random) * delay as f64 / 2.0) as Micros;
+            self.counter_backoff = (delay * 2).min(COUNTER_BACKOFF_MAX);
             // When it was the second reading that failed, the first call's units may have been added.
             if outcome != Outcome::TimedOut && call.unread == 0 {
                 c.unreported += call.reported;
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -123,7 +123,7 @@
 
 /// How servers behave after a start, while they are cold.
 #[derive(Debug, Clone, Default)]
-pub struct Rules {
+pub struct ColdStart {
     /// Share of its full capacity that a server has at least when it has just started, from 0 to 1.
     pub cold_from: f64,
     /// Time after its start at which a server has its full capacity at the latest; 0: at once.
@@ -166,7 +166,7 @@
     /// The counter service.
     pub counter: CounterSettings,
     /// Cold starts of servers.
-    pub rules: Rules,
+    pub cold_start: ColdStart,
 }
 
 /// A server's state in the server list.
--- a/crates/decisions/src/measure.rs
+++ b/crates/decisions/src/measure.rs
@@ -74,7 +74,7 @@
 }
 
 /// Advances the generator (splitmix64) and returns a uniform random number in [0, 1).
-pub fn lot(state: &mut u64) -> f64 {
+pub fn uniform(state: &mut u64) -> f64 {
     *state = mix(state.wrapping_add(GOLDEN));
     (*state >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/decisions/src/memory.rs
+++ b/crates/decisions/src/memory.rs
@@ -48,7 +48,7 @@
 
     /// Imports what the previous process had learned. A node without it sends everything to the few servers
     /// that are warm, and learns again at its clients' cost which ones fail.
-    pub fn recall(&mut self, now: Micros, memory: &Memory) {
+    pub fn restore(&mut self, now: Micros, memory: &Memory) {
         let rate = |value| Rate { value, at: now };
         let means = |tally: &[(usize, f64, f64)]| {
             let each =
--- a/crates/decisions/src/schedule.rs
+++ b/crates/decisions/src/schedule.rs
@@ -30,7 +30,7 @@
 
     /// Whether a retry at `now` is a promised return: at most `slot` after a promised time. It uses the
     /// promise up.
-    pub fn returns(&mut self, now: Micros, slot: Micros) -> bool {
+    pub fn redeem(&mut self, now: Micros, slot: Micros) -> bool {
         self.drop_due(now.saturating_sub(slot));
         let redeemed = self.due.front().is_some_and(|&at| at <= now);
         if redeemed {
@@ -54,10 +54,10 @@
         let mut schedule = Schedule::default();
         let waits: Vec<_> = (0..5).map(|_| schedule.promise(1_000, 100.0, 350.0)).collect();
         assert_eq!(waits, [Some(100), Some(200), Some(300), None, None]);
-        assert!(!schedule.returns(1_050, 20), "no promise for that time");
-        assert!(schedule.returns(1_110, 20) && !schedule.returns(1_110, 20), "one return per promise");
+        assert!(!schedule.redeem(1_050, 20), "no promise for that time");
+        assert!(schedule.redeem(1_110, 20) && !schedule.redeem(1_110, 20), "one return per promise");
         assert_eq!(schedule.promise(1_150, 100.0, 350.0), Some(250));
-        assert!(!schedule.returns(1_250, 20), "too late for its slot");
+        assert!(!schedule.redeem(1_250, 20), "too late for its slot");
         schedule.drop_due(1_400);
         assert_eq!(schedule.promise(1_400, 100.0, 350.0), Some(100));
         assert_eq!(Schedule::default().promise(0, 1.0, 1e9), Some(1));
--- a/crates/decisions/tests/common/fleet.rs
+++ b/crates/decisions/tests/common/fleet.rs
@@ -166,8 +166,12 @@
     pub fn new(seed: u64, setup: Setup) -> Fleet {
         let mut config = no_quota();
         config.nodes = setup.nodes as u32;
-        config.rules =
-            Rules { cold_from: COLD_FROM, cold: COLD, fall_multiple: FALL_MULTIPLE, tip_after: TIP_AFTER };
+        config.cold_start = ColdStart {
+            cold_from: COLD_FROM,
+            cold: COLD,
+            fall_multiple: FALL_MULTIPLE,
+            tip_after: TIP_AFTER,
+        };
         let node =
             |i| TestNode::seeded(seed * 1_000 + i as u64, Settings { me: i as u32, ..config.clone() }, 0);
         let (running, capacity) = (setup.warm_before, CAPACITY);
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -42,7 +42,12 @@
             try_limit: 4,
         },
         counter: CounterSettings { allowed: true, wait: 30 * MS },
-        rules: Rules { cold_from: 0.2, cold: 15 * SECOND, fall_multiple: 2.5, tip_after: 1_500 * MS },
+        cold_start: ColdStart {
+            cold_from: 0.2,
+            cold: 15 * SECOND,
+            fall_multiple: 2.5,
+            tip_after: 1_500 * MS,
+        },
         ..Settings::default()
     }
 }
--- a/crates/decisions/tests/odd_settings.rs
+++ b/crates/decisions/tests/odd_settings.rs
@@ -46,7 +46,7 @@
     ) -> Settings {
         let mut config = no_quota();
         (config.classes, config.nodes, config.me, config.cross_zone_price) = (classes, nodes, me, cross_zone_price);
-        (config.rules.cold_from, config.rules.cold) = (cold_from, cold);
+        (config.cold_start.cold_from, config.cold_start.cold) = (cold_from, cold);
         config.plans[0].worth_factor = worth_factor;
         config
     }
--- a/crates/decisions/tests/scale.rs
+++ b/crates/decisions/tests/scale.rs
@@ -200,7 +200,7 @@
         }
     }
     // 50 customers per second, each with a bucket that is full again after 6 s; and 4 servers at a time.
-    let (customers, servers) = gateway.controller.kept();
+    let (customers, servers) = gateway.controller.state_counts();
     assert!(customers <= 50 * 8, "the state of {customers} customers of 3000 in a minute is kept");
     assert_eq!(servers, 4);
 }
--- a/crates/decisions/tests/servers.rs
+++ b/crates/decisions/tests/servers.rs
@@ -274,7 +274,7 @@
     let first_ten = |memory: Option<&Memory>| {
         let mut controller = Controller::new(9, no_quota());
         let mut out = Vec::new();
-        memory.iter().for_each(|memory| controller.recall(old.now, memory));
+        memory.iter().for_each(|memory| controller.restore(old.now, memory));
         let entries = (0..3).map(|i| member(i, MemberState::InService, 0)).collect();
         controller.handle(old.now, Event::Members { kind: ListKind::Complete, entries }, &mut out);
         let mut gateway = TestNode { now: old.now, controller, last_request: 0 };
@@ -399,13 +399,13 @@
     );
     // The next process continues from these values and does not treat them as a first guess.
     let mut next = TestNode::new(no_quota(), 4);
-    next.controller.recall(next.now, &known);
+    next.controller.restore(next.now, &known);
     steadily(&mut next, 5 * SECOND, |_| (120 * MS, Outcome::Ok));
     let usual = next.controller.memory().latency[2];
     assert!((62e3..90e3).contains(&usual), "a warm latency of {usual} us after 5 s of 120,000");
     // A version that does not report how long it measured took servers of any size for size 1: no warm rate.
     let mut next = TestNode::new(no_quota(), 4);
-    next.controller.recall(next.now, &Memory { measured: 0.0, ..known });
+    next.controller.restore(next.now, &Memory { measured: 0.0, ..known });
     assert_eq!(next.controller.memory().rates[0], 0.0);
 }
 
--- a/crates/node/src/net/servers/backoff.rs
+++ b/crates/node/src/net/servers/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mountbend::measure::lot;
+use mountbend::measure::uniform;
 
 /// The mean pause after the first call that was not served, and at most, in seconds. The platform's service can take one
 /// call of every node in 2 to 8 s, at any size of the fleet: so a fleet that comes back at these paces is served.
@@ -34,7 +34,7 @@
     pub fn pause(&mut self) -> Duration {
         let mean = self.mean;
         self.mean = (mean * 2.0).min(MOST);
-        Duration::from_secs_f64(mean * (0.5 + lot(&mut self.random)))
+        Duration::from_secs_f64(mean * (0.5 + uniform(&mut self.random)))
     }
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -107,7 +107,7 @@
     let left = shared.learned().cloned().filter(|_| handed_on);
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis();
     if let Some(memory) = left.and_then(|left| learned::take(left, &classes.names(), now as u64)) {
-        controller.recall(clock.now(), &memory);
+        controller.restore(clock.now(), &memory);
     }
     let redis_at = match (&operator.redis, &file) {
         (Some(settings), Some(file)) => Some(redis::server(settings, file)?),
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,6 +1,8 @@
 //! The settings of one node, as its configuration and the simulator's first message hold them.
 
-use mountbend::interface::{Class, CounterSettings, Effect, Group, Limits, Micros, Plan, Rules, Settings};
+use mountbend::interface::{
+    Class, ColdStart, CounterSettings, Effect, Group, Limits, Micros, Plan, Settings,
+};
 use serde::Deserialize;
 
 /// The settings of one node, as the simulator's first message and a real node's configuration hold them.
@@ -181,7 +183,7 @@
                 try_limit: env.bounds.try_limit,
             },
             counter: CounterSettings { allowed: env.domain.may_count, wait: env.domain.count_wait },
-            rules: Rules {
+            cold_start: ColdStart {
                 cold_from: env.invariants.cold_from,
                 cold: env.invariants.cold,
                 fall_multiple: env.invariants.fall_multiple,
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -19,7 +19,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use mountbend::interface::{CustomerId, NewRequest, Reason, RequestId as NodeRequestId};
-use mountbend::measure::lot;
+use mountbend::measure::uniform;
 use pinerelay_admission::lease_cache::{Admission, Decision, RequestId};
 use pinerelay_admission::quota::Quota;
 use pinerelay_config_state::execution::ExecutionStatus;
@@ -202,7 +202,7 @@
     /// A random number from 0 to 1.
     fn random(&self) -> f64 {
         let mut random = self.random.get();
-        let drawn = lot(&mut random);
+        let drawn = uniform(&mut random);
         self.random.set(random);
         drawn
     }
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -8,7 +8,8 @@
 
 use mountbend::control::Controller;
 use mountbend::interface::{
-    Class, CountName, Effect, Event, Limits, ListKind, Member, MemberState, Micros, Rules, ServerId, Settings,
+    Class, ColdStart, CountName, Effect, Event, Limits, ListKind, Member, MemberState, Micros, ServerId,
+    Settings,
 };
 use pinerelay_config_state::hash;
 use pinerelay_config_state::resources::{Route, RouteType};
@@ -225,7 +226,7 @@
             zone: OWN_ZONE,
             cross_zone_price: CROSS_ZONE_PRICE,
             limits: Limits { cancel: true, retry_after: true, try_limit: MAX_ATTEMPTS, ..Limits::default() },
-            rules: Rules { cold_from: SLOW_START_SHARE, cold: SLOW_START, ..Rules::default() },
+            cold_start: ColdStart { cold_from: SLOW_START_SHARE, cold: SLOW_START, ..ColdStart::default() },
             ..Settings::default()
         };
         let VersionName { service, version } = name;
