--- a/crates/registry/src/call_body.rs
+++ b/crates/registry/src/call_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls from outside, within what the process may hold of them at once.
+//! Reads request bodies within a memory limit that all requests share.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,56 +10,56 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-/// No body is longer, in bytes.
+/// The maximum length of a body, in bytes.
 pub const MAX_BODY_LENGTH: usize = 8 << 20;
-/// A body up to this length is read whatever others take: heartbeats are far shorter.
+/// Bodies up to this length, in bytes, are read even if the memory limit is reached: heartbeats are far shorter.
 const ALWAYS_READ_LENGTH: usize = 64 * 1024;
-/// Longer bodies may take together one part in so many of the process's memory. Each is copied a few times on its way through
-/// the process.
+/// The process's memory divided by this is the limit for all bodies together. Each body is copied a few times while it is
+/// processed.
 const MEMORY_DIVISOR: usize = 8;
-/// How long a body may take: one of 8 MiB takes half of it at 2 Mbit/s.
+/// The time limit for reading a body: 8 MiB at 2 Mbit/s take half of it.
 const READ_TIMEOUT: Duration = Duration::from_secs(70);
 
-/// Why a body is not read.
+/// Why a body was not read.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum BodyError<E> {
     /// It is longer than [`MAX_BODY_LENGTH`].
     #[error("the body is over 8 MiB")]
     TooLong,
-    /// Others take too much memory.
+    /// The memory limit for all bodies is reached.
     #[error("other calls hold too much")]
     OutOfMemory,
-    /// It has not arrived in time.
+    /// It did not arrive within [`READ_TIMEOUT`].
     #[error("the body has not come in time")]
     TimedOut,
-    /// The connection failed.
+    /// The connection failed before the end of the body.
     #[error("the body is not whole")]
     Connection(E),
 }
 
-/// The memory that the bodies of all calls take.
+/// Accounts for the memory that the bodies of all calls use, in bytes.
 pub struct BodyMemory {
     limit: usize,
     used: Cell<usize>,
 }
 
-/// The memory of one body; freed when this is dropped.
-#[must_use = "the memory counts as free once this is dropped"]
+/// The memory reserved for one body; released on drop.
+#[must_use = "the reservation is released once this is dropped"]
 pub struct BodyPermit {
     memory: Rc<BodyMemory>,
     bytes: usize,
 }
 
 impl BodyMemory {
-    /// The memory for bodies of a process that may take so many MiB.
+    /// The body memory of a process with a memory limit of `memory_mb` MiB.
     pub fn of_process(memory_mb: usize) -> Rc<BodyMemory> {
         Rc::new(BodyMemory { limit: memory_mb.saturating_mul(1 << 20) / MEMORY_DIVISOR, used: Cell::new(0) })
     }
 
-    /// Reads a whole body. Cancelling frees its memory.
+    /// Reads a body to its end. Cancelling releases its memory.
     ///
     /// # Errors
-    /// If the body is too long or too slow, if memory is short, or if the connection fails.
+    /// If the body is too long or too slow, the memory limit is reached, or the connection fails.
     pub async fn read<B>(self: &Rc<Self>, body: B) -> Result<(Bytes, BodyPermit), BodyError<B::Error>>
     where
         B: Body<Data = Bytes> + Unpin,
@@ -94,7 +94,7 @@
 }
 
 impl BodyPermit {
-    /// Takes more memory; returns whether there is enough.
+    /// Reserves more memory; returns `false`, and reserves nothing, if the limit does not allow it.
     #[must_use]
     fn grow(&mut self, bytes: usize) -> bool {
         let used = self.memory.used.get() + bytes;
--- a/crates/registry/src/call_counts.rs
+++ b/crates/registry/src/call_counts.rs
@@ -1,4 +1,4 @@
-//! How calls from outside were answered.
+//! Counts of answered control calls.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 
 use crate::control_call::CallError;
 
-/// Counts answers.
+/// Counts answers by HTTP status and logs unknown calls.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     by_status: BTreeMap<u16, u64>,
-    /// The last call that is not served here: it is logged once.
+    /// The name of the last unknown call: repetitions of it are not logged.
     last_unknown: Option<String>,
 }
 
 impl CallCounts {
-    /// A call was answered.
+    /// Counts an answer with this HTTP status.
     pub fn count(&mut self, status: u16) {
         *self.by_status.entry(status).or_default() += 1;
     }
 
-    /// Notes what was asked for that is not served here.
-    pub fn note_error(&mut self, error: &CallError) {
+    /// Logs the name of an unknown call, unless the last unknown call had the same name.
+    pub fn log_unknown_call(&mut self, error: &CallError) {
         let CallError::UnknownCall(name) = error else { return };
         if self.last_unknown.as_ref() != Some(name) {
-            log::warn!("a caller asks for {name:?}, which is not served here");
+            log::warn!("rejected unknown call {name:?}");
             self.last_unknown = Some(name.clone());
         }
     }
--- a/crates/registry/src/control_call.rs
+++ b/crates/registry/src/control_call.rs
@@ -1,4 +1,4 @@
-//! The calls of servers and operators: one dispatch on method, path and query.
+//! The control calls of servers and operators, parsed from the method, path, query and body of an HTTP request.
 
 use pinerelay_config_state::rollout::RolloutOrder;
 use pinerelay_config_state::server::Heartbeat;
@@ -8,49 +8,49 @@
 #[cfg(test)]
 mod tests;
 
-/// The path of all calls.
+/// The path at which all calls are served.
 pub const PATH: &str = "/-/rpc";
-/// No name of a server or service is longer, in bytes.
+/// The maximum length of a server's id or a service's name, in bytes.
 const MAX_NAME_LENGTH: usize = 256;
 
-/// A call.
+/// A parsed call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlCall {
     /// A server sends a heartbeat.
     Heartbeat {
-        /// The server.
+        /// The server's id.
         id: String,
-        /// Its report.
+        /// Its contents.
         heartbeat: Heartbeat,
     },
     /// A server deregisters.
     Leave {
-        /// The server.
+        /// The server's id.
         id: String,
     },
-    /// The operator changes the configuration; the body of the call.
+    /// An operator changes the configuration; holds the body, which the store parses.
     Update(Vec<u8>),
-    /// The operator reads the configuration.
+    /// An operator reads the configuration.
     Read,
-    /// The operator orders a rollout.
+    /// An operator orders a rollout.
     StartRollout(RolloutOrder),
-    /// The operator reads how the rollout of this service stands.
+    /// An operator reads the state of the rollout of the named service.
     ReadRollout(String),
 }
 
 /// Why a call is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Nothing is served at this path.
+    /// The path is not [`PATH`].
     #[error("{PATH} is served here")]
     UnknownPath,
     /// The method is not POST.
     #[error("POST alone is served here")]
     UnknownMethod,
-    /// No call is named.
+    /// The query has no `call` parameter.
     #[error("call: servers.heartbeat, servers.leave, config.update or config.read")]
     NoCall,
-    /// There is no such call.
+    /// The `call` parameter names an unknown call.
     #[error("call: there is no {0:?}")]
     UnknownCall(String),
     /// The server's id is missing or too long, or cannot be decoded.
@@ -78,7 +78,7 @@
 /// Parses a call.
 ///
 /// # Errors
-/// If the request is no call, or its body is invalid.
+/// If the request is not a known call, or its id, service name or body is invalid.
 pub fn parse(method: &str, path: &str, query: Option<&str>, body: &[u8]) -> Result<ControlCall, CallError> {
     if path != PATH {
         return Err(CallError::UnknownPath);
@@ -88,15 +88,17 @@
     }
     match query_value(query, "call") {
         Some("servers.heartbeat") => Ok(ControlCall::Heartbeat {
-            id: name_of(query).ok_or(CallError::InvalidId)?,
+            id: target_name(query).ok_or(CallError::InvalidId)?,
             heartbeat: Heartbeat::parse(body)?,
         }),
-        Some("servers.leave") => Ok(ControlCall::Leave { id: name_of(query).ok_or(CallError::InvalidId)? }),
+        Some("servers.leave") => {
+            Ok(ControlCall::Leave { id: target_name(query).ok_or(CallError::InvalidId)? })
+        }
         Some("config.update") => Ok(ControlCall::Update(body.to_vec())),
         Some("config.read") => Ok(ControlCall::Read),
         Some("rollouts.start") => Ok(ControlCall::StartRollout(RolloutOrder::parse(body)?)),
         Some("rollouts.read") => {
-            let service = name_of(query).ok_or(CallError::InvalidService)?;
+            let service = target_name(query).ok_or(CallError::InvalidService)?;
             Ok(ControlCall::ReadRollout(service))
         }
         Some(other) => Err(CallError::UnknownCall(other.into())),
@@ -104,18 +106,19 @@
     }
 }
 
+/// The first value of a query parameter, still percent-encoded.
 fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let mut pairs = query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(other, _)| *other == name).map(|(_, value)| value)
 }
 
-/// The name of the server or service that a call is about.
-fn name_of(query: Option<&str>) -> Option<String> {
+/// The id of the server or name of the service that a call refers to: the decoded `of` parameter.
+fn target_name(query: Option<&str>) -> Option<String> {
     let name = query_value(query, "of").and_then(percent_decode);
     name.filter(|name| !name.is_empty() && name.len() <= MAX_NAME_LENGTH)
 }
 
-/// Decodes percent-encoding (RFC 3986, section 2.1); `None` if that is malformed or the result is no UTF-8.
+/// Decodes percent-encoding (RFC 3986, section 2.1); `None` if it is malformed or the result is not UTF-8.
 fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = text.bytes();
     let mut decoded = Vec::with_capacity(text.len());
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,11 +1,11 @@
-//! The registry: knows the servers and the nodes, tells the proxies, counts the tenants' quota units, and takes all calls from
-//! outside.
+//! The registry: tracks servers by their heartbeats, replicates updates to the proxies, leases quota units of tenants to them,
+//! runs rollouts, and serves the control calls of servers and operators.
 //!
 //! - [`registry`]: the state machine.
-//! - [`control_call`]: the calls of servers and operators.
-//! - [`call_counts`]: how they were answered.
-//! - [`call_body`]: their bodies, within what the process may hold at once.
-//! - [`run`]: joins the state machine to links and to the calls from outside.
+//! - [`control_call`]: parses control calls.
+//! - [`call_counts`]: counts the answers by HTTP status.
+//! - [`call_body`]: reads request bodies within a memory limit.
+//! - [`run`]: connects the state machine to peer links and the HTTP listener.
 
 pub mod call_body;
 pub mod call_counts;
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,10 +1,10 @@
-//! Starts the registry.
+//! The registry program.
 
 use std::process::ExitCode;
 
 use pinerelay_node_runtime::command::run_program;
 
 fn main() -> ExitCode {
-    let description = "knows the gateway's servers and nodes, and takes the calls from outside";
+    let description = "tracks the gateway's servers and nodes, and serves control calls";
     run_program("registry", description, pinerelay_registry::run::run)
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,4 +1,5 @@
-//! The registry's state machine: events of links and calls go in with the clock, what is to be sent and answered comes out.
+//! The registry's state machine. It does no I/O: callers pass in link events, calls and the current time, and carry out the
+//! returned [`Output`]s.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,8 +13,8 @@
 use pinerelay_rollout::decider::RolloutBounds;
 
 mod call_forwarding;
-mod currency;
 mod endpoints;
+mod freshness;
 mod messages;
 mod processes;
 mod quota_duty;
@@ -22,73 +23,76 @@
 mod status;
 
 use call_forwarding::ForwardedCalls;
-use currency::CurrencyLease;
 use endpoints::Endpoints;
+use freshness::FreshnessLease;
 use processes::{PeerRegistry, Proxies, StoreLink};
 use quota_duty::QuotaDuty;
 use replication::PartialUpdate;
 use rollout_duty::RolloutDuty;
 use status::Counters;
 
-/// How often a registry reports its status.
+/// The interval at which a registry sends its status, in microseconds.
 const STATUS_INTERVAL: Micros = 600_000;
-/// A registry that has not heard its machine's store for so long, or that it is current, links to the others' stores.
+/// A registry connects to the stores of other machines once its own machine's store has been silent, or not confirmed as
+/// current, for this long.
 const OWN_STORE_TIMEOUT: Micros = 1_000_000;
-/// A gap between two ticks after which the process has stalled: what it did not hear meanwhile tells nothing.
-const STALL: Micros = 700_000;
-/// A gap after which a call may have waited here for so long that its caller has asked elsewhere.
-const CALL_STALL: Micros = 250_000;
-/// For how long after such a gap that is so.
-const AFTER_CALL_STALL: Micros = 150_000;
+/// The process counts as stalled after a gap of this length between two ticks. Missing messages during a stall do not mean
+/// that a peer is silent.
+const STALL_THRESHOLD: Micros = 700_000;
+/// After a gap of this length between two ticks a call may have been queued here for so long that its caller has already retried
+/// at another registry.
+const CALL_STALL_THRESHOLD: Micros = 250_000;
+/// For how long after such a gap changes are still rejected.
+const CALL_REJECT_PERIOD: Micros = 150_000;
 
-/// What the registry wants done.
+/// An action that the caller of the state machine carries out.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send a message on a connection.
     Send(ConnectionId, PeerMessage),
     /// Send the same message on many connections.
     Broadcast(Vec<ConnectionId>, PeerMessage),
-    /// Answer a call from outside.
+    /// Answer the control call with this number.
     Answer(u64, CallReply),
-    /// Close a connection: what arrived on it makes no sense.
+    /// Close a connection whose peer violated the protocol.
     Close(ConnectionId),
 }
 
-/// What a registry is told at its start.
+/// The configuration of a registry, fixed at its start.
 #[derive(Debug, Clone)]
 pub struct RegistryConfig {
-    /// How it introduces itself.
+    /// The hello message that it sends on each connection.
     pub hello: Hello,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
-    /// The time of day when the process starts, in seconds.
+    /// The Unix time when the process starts, in seconds.
     pub time_of_day: u64,
-    /// The interval of servers' heartbeats.
+    /// The interval between the heartbeats of a server.
     pub heartbeat_interval: Micros,
     /// The operator's bounds on quotas.
     pub quota_bounds: QuotaBounds,
-    /// Rollouts, as the operator wants them.
+    /// The operator's settings for rollouts.
     pub rollouts: RolloutSettings,
-    /// The core machines that it has been told of.
+    /// The addresses of the core machines in the settings.
     pub seeds: Vec<String>,
 }
 
-/// Rollouts, as the operator wants them.
+/// The operator's settings for rollouts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RolloutSettings {
-    /// Whether a version that no rollout has let in is to get nothing from the first server of a service on. Otherwise that holds for a
-    /// service from its first order on.
-    pub are_guaranteed: bool,
-    /// The bounds.
+    /// Whether the baseline of a service is set as soon as it has servers, so that a version without a rollout never gets
+    /// requests. Otherwise it is set at the first order for the service.
+    pub baseline_without_order: bool,
+    /// The bounds on exposure and rollback.
     pub bounds: RolloutBounds,
 }
 
-/// Whether a majority of the core is reached.
+/// Whether a majority of the core is reached, and since when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Majority {
-    /// Since this moment.
+    /// Reached since this time.
     Reached(Micros),
-    /// Not since this moment.
+    /// Not reached since this time.
     Lost(Micros),
 }
 
@@ -98,31 +102,31 @@
     }
 }
 
-/// The registry.
+/// The state of a registry.
 pub struct Registry {
     config: RegistryConfig,
-    /// The committed items of the configuration, and all others.
+    /// The committed configuration items, and the runtime items.
     realms: [ItemSet; 2],
-    /// What the configuration's items make.
+    /// The routing table built from the configuration items.
     table: RoutingTable,
-    /// Whether a store with a complete replica has sent all that it has.
+    /// Whether the configuration here has been equal to that of a store with a complete replica.
     is_complete: bool,
-    /// Whether the configuration may hold a part of an operator's update.
+    /// Whether the configuration may contain only a part of an operator's update.
     partial: PartialUpdate,
-    /// Whether what it has is current.
-    lease: CurrencyLease,
+    /// The lease during which the configuration here counts as current.
+    lease: FreshnessLease,
     peers: BTreeMap<ConnectionId, Hello>,
     stores: BTreeMap<ConnectionId, StoreLink>,
-    /// Other registries, by their address.
+    /// The status of other registries, by IP address.
     registries: BTreeMap<String, PeerRegistry>,
     proxies: Proxies,
-    /// The process of each proxy and registry, by its machine.
+    /// The last process id of each peer, by role and node.
     process_ids: BTreeMap<(Role, String), u64>,
-    /// When a peer last took part in anti-entropy.
+    /// When the last anti-entropy message arrived on each connection.
     last_sync: BTreeMap<ConnectionId, Micros>,
-    /// The core machines that vote, once a store has told them; until then those that it was told of.
+    /// The voting core machines as reported by a store; until then the seeds.
     voters: Vec<String>,
-    /// The voters of the epoch before.
+    /// The voters of the previous epoch.
     previous_voters: Vec<String>,
     majority: Majority,
     endpoints: Endpoints,
@@ -130,31 +134,31 @@
     quota_duty: QuotaDuty,
     rollout_duty: RolloutDuty,
     calls: ForwardedCalls,
-    /// The last number that was given to a call, a replication or a fencing token.
+    /// The last number assigned to a forwarded call, a replication or a fencing token.
     last_number: u64,
     started_at: Micros,
     last_tick: Micros,
-    /// When the process went on after its last stall.
+    /// When the first tick after the last gap of [`CALL_STALL_THRESHOLD`] ran.
     resumed_at: Option<Micros>,
-    /// When the machine's own store was last heard.
-    own_store_heard_at: Micros,
-    /// When the machine's own store was last current.
-    own_store_current_at: Micros,
+    /// When the last message of the machine's own store arrived.
+    own_store_last_message: Micros,
+    /// When the machine's own store was last confirmed as current.
+    own_store_last_current: Micros,
     next_status: Micros,
-    /// When what it has was last equal to what a store or another registry has.
+    /// When the digests here were last equal to those of a store or another registry.
     last_equal: Micros,
     counters: Counters,
 }
 
 impl Registry {
-    /// A registry that has heard nothing yet.
+    /// Creates a registry without links and items.
     pub fn new(now: Micros, config: RegistryConfig) -> Registry {
         let duties = DutyTable::new(now, &config.hello.ip, config.first_start);
         Registry {
             voters: config.seeds.clone(),
             previous_voters: Vec::new(),
             started_at: now,
-            lease: CurrencyLease::new(now),
+            lease: FreshnessLease::new(now),
             config,
             realms: Default::default(),
             table: RoutingTable::default(),
@@ -175,15 +179,15 @@
             last_number: 0,
             last_tick: now,
             resumed_at: None,
-            own_store_heard_at: now,
-            own_store_current_at: now,
+            own_store_last_message: now,
+            own_store_last_current: now,
             next_status: now,
             last_equal: now,
             counters: Counters::default(),
         }
     }
 
-    /// The other registries that it is to reach.
+    /// The IP addresses of the other registries that this one connects to.
     pub fn other_registries(&self) -> BTreeSet<String> {
         let voters = self.voters.iter().chain(&self.previous_voters).chain(&self.config.seeds);
         let reported = self.registries.values().flat_map(|registry| &registry.registries);
@@ -191,20 +195,20 @@
         all.filter(|ip| **ip != self.config.hello.ip).cloned().collect()
     }
 
-    /// The processes that it is to keep links to, by address and program: the other registries, the store of its own machine,
-    /// and as long as that is missing or not current, the others' stores.
+    /// The processes that this one keeps links to, by IP address and role: the other registries, the store of its own machine,
+    /// and while that store is silent or not current, the stores of the other machines.
     pub fn wanted_links(&self) -> BTreeSet<(String, Role)> {
         let others = self.other_registries();
         let mut wanted: BTreeSet<_> = others.iter().map(|ip| (ip.clone(), Role::Registry)).collect();
         wanted.insert((self.config.hello.ip.clone(), Role::ConfigStore));
-        let own_store_at = self.own_store_heard_at.min(self.own_store_current_at);
-        if self.last_tick > own_store_at + OWN_STORE_TIMEOUT {
+        let last_usable = self.own_store_last_message.min(self.own_store_last_current);
+        if self.last_tick > last_usable + OWN_STORE_TIMEOUT {
             wanted.extend(others.into_iter().map(|ip| (ip, Role::ConfigStore)));
         }
         wanted
     }
 
-    /// The configuration's items, and all others.
+    /// The configuration items, and the runtime items.
     pub fn realms(&self) -> &[ItemSet; 2] {
         &self.realms
     }
@@ -225,7 +229,7 @@
         [self.config_items().digest(), self.runtime_items().digest()]
     }
 
-    /// The time of day, in seconds.
+    /// The Unix time, in seconds.
     fn time_of_day(&self, now: Micros) -> u64 {
         self.config.time_of_day + now / 1_000_000
     }
@@ -235,29 +239,29 @@
         self.last_number
     }
 
-    /// The slices that it acts for now, one bit each.
+    /// The slices whose duty this registry holds now, one bit each.
     pub fn held_slices(&self, now: Micros) -> u32 {
         let held = (0..SLICE_COUNT).filter(|&slice| self.duties.holds(now, slice));
         held.fold(0, |bits, slice| bits | 1 << slice)
     }
 
-    /// Time has passed.
+    /// Runs all work that is due by now.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let has_stalled = now > self.last_tick + STALL;
-        if now > self.last_tick + CALL_STALL {
+        let has_stalled = now > self.last_tick + STALL_THRESHOLD;
+        if now > self.last_tick + CALL_STALL_THRESHOLD {
             self.resumed_at = Some(now);
             self.counters.stalls += 1;
-            log::warn!("has stood still for {} ms", (now - self.last_tick) / 1_000);
+            log::warn!("stalled for {} ms", (now - self.last_tick) / 1_000);
         }
         self.last_tick = now;
         if has_stalled {
-            // What was sent meanwhile has not been read yet.
+            // Messages that arrived during the stall have not been read yet.
             self.stores.values_mut().for_each(|store| store.last_message = now);
         }
         self.update_own_store(now);
         self.update_majority(now, has_stalled);
         self.update_duties(now, out);
-        self.report_currency(now, out);
+        self.report_freshness(now, out);
         self.detect_missing_proxies(now);
         self.expire_deregistrations(now, out);
         self.remove_lost_servers(now, out);
@@ -271,14 +275,14 @@
         }
     }
 
-    /// Notes when the machine's own store was last heard and current.
+    /// Records when the machine's own store last sent a message and was last current.
     fn update_own_store(&mut self, now: Micros) {
         let Some(connection) = self.own_store() else { return };
         if let Some(store) = self.stores.get(&connection) {
-            self.own_store_heard_at = store.last_message;
+            self.own_store_last_message = store.last_message;
         }
         if self.lease.is_confirmed_by(connection, now) {
-            self.own_store_current_at = now;
+            self.own_store_last_current = now;
         }
     }
 
@@ -289,7 +293,7 @@
         let has_majority = reached * 2 > self.voters.len();
         if !has_majority || has_stalled {
             if self.majority.is_reached() && !has_majority {
-                log::warn!("reaches {reached} of {} core machines", self.voters.len());
+                log::warn!("majority lost: {reached} of {} core machines are reached", self.voters.len());
             }
             if self.majority.is_reached() {
                 self.majority = Majority::Lost(now);
@@ -298,23 +302,23 @@
         if let (true, Majority::Lost(since)) = (has_majority, self.majority) {
             self.majority = Majority::Reached(now);
             self.postpone_losses(now, now - since);
-            // The proxies wait for this.
+            // The proxies wait for this status.
             self.next_status = now;
         }
     }
 
-    /// Whether it reaches a majority of the core, as far as it can know. A process that has stalled does not know; one that has
-    /// just started may have no links yet.
-    fn is_in_contact(&self, now: Micros) -> bool {
-        let has_just_started = now < self.started_at + currency::START_GRACE;
-        now <= self.last_tick + STALL && (self.majority.is_reached() || has_just_started)
+    /// Whether a majority of the core is presumed to be reached. Not after a stall, as links may have broken meanwhile; but for
+    /// [`freshness::START_GRACE`] after the start, when links may not be up yet.
+    fn presumes_majority(&self, now: Micros) -> bool {
+        let has_just_started = now < self.started_at + freshness::START_GRACE;
+        now <= self.last_tick + STALL_THRESHOLD && (self.majority.is_reached() || has_just_started)
     }
 
-    /// Gives its duties up, at a planned shutdown.
+    /// Releases the duties and notifies the peers, at a planned shutdown.
     pub fn shut_down(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.duties.release_all(&mut actions);
-        self.carry_out_duty_actions(now, actions, out);
+        self.apply_duty_actions(now, actions, out);
         out.push(Output::Broadcast(self.peers.keys().copied().collect(), PeerMessage::Goodbye));
     }
 }
--- a/crates/registry/src/registry/endpoints.rs
+++ b/crates/registry/src/registry/endpoints.rs
@@ -1,4 +1,4 @@
-//! Registration of servers: their heartbeats, who else has to know, and which servers have failed.
+//! Registration of servers: heartbeats, replicated deregistrations, and detection of failed servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,54 +10,56 @@
 
 use super::{Output, Registry, STATUS_INTERVAL};
 
-/// A server is lost after so many heartbeat intervals of silence.
+/// A server is lost after a silence of this many heartbeat intervals.
 const LOST_AFTER_INTERVALS: f64 = 3.2;
-/// A server that has been lost for so long counts as deregistered.
+/// A server is deregistered once it has been lost for this long.
 const LOST_LIMIT: Micros = 120_000_000;
-/// Another registry has so long to hold a deregistration: the server waits for a second.
+/// The time within which another registry must acknowledge a deregistration: the server waits one second for its answer.
 const REPLICATION_TIMEOUT: Micros = 700_000;
 
-/// So many versions of a service are logged.
+/// The maximum number of versions of a service that are logged.
 const MAX_LOGGED_VERSIONS: usize = 64;
 
-/// When a server was last heard.
+/// When the last heartbeat of a server arrived.
 #[derive(Debug, Clone, Copy)]
 struct LastHeartbeat {
-    /// By any registry.
+    /// At any registry.
     anywhere: Micros,
-    /// By this one.
+    /// At this one.
     here: Option<Micros>,
 }
 
-/// A deregistration that is not acknowledged before another registry holds it.
+/// A draining or deregistering server whose call is answered once another registry has acknowledged the item.
 #[derive(Debug)]
 struct PendingDeregistration {
     call: u64,
     id: String,
     since: Micros,
-    /// The connections on which others were asked: only what arrives on these tells that it is held.
-    asked: BTreeSet<ConnectionId>,
+    /// The connections on which other registries were asked; acknowledgements on other connections are ignored.
+    requested_on: BTreeSet<ConnectionId>,
 }
 
-/// What is known of the servers, besides their items.
+/// The state of the servers beyond their items.
 #[derive(Debug)]
 pub(super) struct Endpoints {
+    /// By server id.
     last_heartbeats: BTreeMap<String, LastHeartbeat>,
-    /// Servers that are lost, and since when.
+    /// Lost servers, and when this registry learned of it.
     lost: BTreeMap<String, Micros>,
     ids_by_key_hash: BTreeMap<u64, String>,
-    /// By the number under which others were asked.
+    /// Pending deregistrations, by the number of the replication request.
     pending: BTreeMap<u64, PendingDeregistration>,
-    /// Servers whose deregistration another registry holds as well.
+    /// Servers whose draining or deregistration has been replicated.
     replicated: BTreeSet<String>,
-    /// The versions that the servers of each service have had.
+    /// The versions of each service's servers that have been logged.
     versions: BTreeMap<String, BTreeSet<String>>,
-    /// No server is lost before. Since a majority has been reached this registry may not have been told of all heartbeats.
-    losses_from: Micros,
+    /// No server is marked as lost before this time, as heartbeats at other registries may not have been reported here since a
+    /// majority was reached again.
+    detect_losses_from: Micros,
 }
 
 impl Endpoints {
-    /// No server is known.
+    /// Creates the state without servers.
     pub(super) fn new(now: Micros) -> Endpoints {
         Endpoints {
             last_heartbeats: BTreeMap::new(),
@@ -66,12 +68,12 @@
             pending: BTreeMap::new(),
             replicated: BTreeSet::new(),
             versions: BTreeMap::new(),
-            losses_from: now,
+            detect_losses_from: now,
         }
     }
 
     /// Logs the first server of a version.
-    fn note_version(&mut self, server: &Server) {
+    fn log_new_version(&mut self, server: &Server) {
         let Server { service, revision, .. } = server;
         let versions = self.versions.entry(service.clone()).or_default();
         if versions.len() < MAX_LOGGED_VERSIONS && versions.insert(revision.clone()) {
@@ -79,12 +81,12 @@
         }
     }
 
-    /// The number of deregistrations that are not acknowledged yet.
+    /// The number of deregistrations that no other registry has acknowledged yet.
     pub(super) fn pending_deregistrations(&self) -> usize {
         self.pending.len()
     }
 
-    /// Keeps the replicated deregistrations of servers that are known.
+    /// Forgets the replicated deregistrations of servers that are not known any more.
     pub(super) fn retain_replicated(&mut self, is_known: impl Fn(&str) -> bool) {
         self.replicated.retain(|id| is_known(id));
     }
@@ -108,14 +110,14 @@
         let key = server_key(id);
         let old = self.runtime_items().get(&key);
         if old.is_some_and(|old| old.version.revision > heartbeat.call_count) {
-            // It is late and changes nothing, or the server has deregistered.
+            // A delayed heartbeat, or the server has deregistered.
             return self.acknowledge(now, call, out);
         }
         let known = old.and_then(|old| old.value.as_deref()).and_then(Server::decode);
         if known.is_none_or(|known| !heartbeat.server.is_redundant_to(&known)) {
             let item = heartbeat.server.to_item(id, heartbeat.call_count);
             self.runtime_items_mut().merge(item.clone());
-            self.note_server_item(&item);
+            self.record_server_item(&item);
             self.send_update(item, out);
         }
         let last = LastHeartbeat { anywhere: now, here: Some(now) };
@@ -127,11 +129,11 @@
         self.acknowledge(now, call, out);
     }
 
-    /// Acknowledges a call of a server. Heartbeats that a registry hears while it is cut off are unknown to the others, which
-    /// would take the server for lost; so it is sent on to another node. What was heard stands, for the proxies on this side and
-    /// for later.
+    /// Answers a call of a server: with success if a majority of the core is presumed to be reached. Other registries do not
+    /// learn of heartbeats at a partitioned registry and would mark the server as lost, so 503 makes it call another node. The
+    /// change itself is kept, for the proxies on this side of the partition and for later.
     fn acknowledge(&mut self, now: Micros, call: u64, out: &mut Vec<Output>) {
-        let reply = if self.is_in_contact(now) {
+        let reply = if self.presumes_majority(now) {
             CallReply::ok()
         } else {
             self.counters.heartbeats_rejected += 1;
@@ -141,13 +143,13 @@
     }
 
     /// A server has deregistered.
-    pub(super) fn on_leave(&mut self, now: Micros, call: u64, id: &str, out: &mut Vec<Output>) {
+    pub(super) fn on_deregister(&mut self, now: Micros, call: u64, id: &str, out: &mut Vec<Output>) {
         let key = server_key(id);
         let is_known = self.runtime_items().get(&key).is_some_and(|item| item.value.is_none());
         let tombstone = Server::tombstone(id, self.time_of_day(now));
         if !is_known && self.runtime_items_mut().merge(tombstone.clone()) {
             self.endpoints.replicated.remove(id);
-            self.note_server_item(&tombstone);
+            self.record_server_item(&tombstone);
             self.send_update(tombstone, out);
         }
         if self.endpoints.replicated.contains(id) {
@@ -156,7 +158,7 @@
         self.replicate(now, call, &key, out);
     }
 
-    /// Sends an item to the proxies, the other registries and the machine's store.
+    /// Broadcasts an item to the proxies, the other registries and the machine's store.
     fn send_update(&self, item: Item, out: &mut Vec<Output>) {
         let mut receivers = self.connections_of(Role::Proxy);
         receivers.extend(self.registry_connections().into_values());
@@ -164,20 +166,20 @@
         out.push(Output::Broadcast(receivers, PeerMessage::Update(vec![item])));
     }
 
-    /// Asks the other registries to hold a deregistration. One that is known here alone would get lost with this machine, and
-    /// proxies would send on to a server that was told it may go. So it is acknowledged once another registry holds it that
-    /// reaches a majority of the core.
+    /// Replicates a draining or deregistered server's item to the other registries. If it were known here alone, a failure of
+    /// this machine would lose it, and proxies would go on sending requests to a server that was allowed to stop. So the call is
+    /// acknowledged once another registry that reaches a majority of the core has it.
     fn replicate(&mut self, now: Micros, call: u64, key: &Key, out: &mut Vec<Output>) {
         if self.voters.len() <= 1 {
             self.endpoints.replicated.insert(key.name.clone());
             return out.push(Output::Answer(call, CallReply::ok()));
         }
-        let asked: BTreeSet<ConnectionId> = self.registry_connections().into_values().collect();
-        let item = self.runtime_items().get(key).cloned().filter(|_| !asked.is_empty());
+        let requested_on: BTreeSet<ConnectionId> = self.registry_connections().into_values().collect();
+        let item = self.runtime_items().get(key).cloned().filter(|_| !requested_on.is_empty());
         let Some(item) = item else { return self.reject_deregistration(call, out) };
         let number = self.next_number();
-        let receivers = asked.iter().copied().collect();
-        let pending = PendingDeregistration { call, id: key.name.clone(), since: now, asked };
+        let receivers = requested_on.iter().copied().collect();
+        let pending = PendingDeregistration { call, id: key.name.clone(), since: now, requested_on };
         self.endpoints.pending.insert(number, pending);
         let message = PeerMessage::Replicate { number, items: vec![item] };
         out.push(Output::Broadcast(receivers, message));
@@ -188,10 +190,10 @@
         out.push(Output::Answer(call, CallReply::error(503, "no other registry holds it")));
     }
 
-    /// A registry holds what it was asked to.
+    /// Another registry has acknowledged a replicated item.
     pub(super) fn on_replicated(&mut self, connection: ConnectionId, number: u64, out: &mut Vec<Output>) {
         let pending = self.endpoints.pending.get(&number);
-        if pending.is_some_and(|pending| pending.asked.contains(&connection)) {
+        if pending.is_some_and(|pending| pending.requested_on.contains(&connection)) {
             if let Some(pending) = self.endpoints.pending.remove(&number) {
                 self.endpoints.replicated.insert(pending.id);
                 out.push(Output::Answer(pending.call, CallReply::ok()));
@@ -199,34 +201,35 @@
         }
     }
 
-    /// A connection to a registry has gone, and nothing arrives on it any more. If there is another one, it is asked there again.
-    pub(super) fn replicate_again(&mut self, connection: ConnectionId, ip: &str, out: &mut Vec<Output>) {
+    /// A connection to a registry has closed: repeats its replication requests on another connection to it, and rejects those
+    /// that no other registry has been asked for.
+    pub(super) fn retry_replication(&mut self, connection: ConnectionId, ip: &str, out: &mut Vec<Output>) {
         let other = self.registry_connections().get(ip).copied();
         let mut failed = Vec::new();
         let pending = self.endpoints.pending.iter_mut();
-        for (&number, pending) in pending.filter(|(_, pending)| pending.asked.contains(&connection)) {
-            pending.asked.remove(&connection);
+        for (&number, pending) in pending.filter(|(_, pending)| pending.requested_on.contains(&connection)) {
+            pending.requested_on.remove(&connection);
             let item = self.realms[1].get(&server_key(&pending.id));
             if let (Some(other), Some(item)) = (other, item) {
-                pending.asked.insert(other);
+                pending.requested_on.insert(other);
                 let message = PeerMessage::Replicate { number, items: vec![item.clone()] };
                 out.push(Output::Send(other, message));
-            } else if pending.asked.is_empty() {
+            } else if pending.requested_on.is_empty() {
                 failed.push(number);
             }
         }
-        self.reject_pending(failed, out);
+        self.reject_deregistrations(failed, out);
     }
 
-    /// Gives up on deregistrations that no other registry has held in time.
+    /// Rejects deregistrations that no other registry has acknowledged within [`REPLICATION_TIMEOUT`].
     pub(super) fn expire_deregistrations(&mut self, now: Micros, out: &mut Vec<Output>) {
         let pending = self.endpoints.pending.iter();
-        let late = pending.filter(|(_, pending)| now >= pending.since + REPLICATION_TIMEOUT);
-        let late: Vec<u64> = late.map(|(&number, _)| number).collect();
-        self.reject_pending(late, out);
+        let expired = pending.filter(|(_, pending)| now >= pending.since + REPLICATION_TIMEOUT);
+        let expired: Vec<u64> = expired.map(|(&number, _)| number).collect();
+        self.reject_deregistrations(expired, out);
     }
 
-    fn reject_pending(&mut self, numbers: Vec<u64>, out: &mut Vec<Output>) {
+    fn reject_deregistrations(&mut self, numbers: Vec<u64>, out: &mut Vec<Output>) {
         for number in numbers {
             if let Some(pending) = self.endpoints.pending.remove(&number) {
                 self.reject_deregistration(pending.call, out);
@@ -234,8 +237,8 @@
         }
     }
 
-    /// Notes a new item if it is a server's.
-    pub(super) fn note_server_item(&mut self, item: &Item) {
+    /// Updates the state of a server from its new item; ignores other items.
+    pub(super) fn record_server_item(&mut self, item: &Item) {
         if item.key.kind != Kind::Server {
             return;
         }
@@ -243,7 +246,7 @@
         self.endpoints.ids_by_key_hash.insert(item.key.key_hash(), id.clone());
         let server = item.value.as_deref().and_then(Server::decode);
         if let Some(server) = &server {
-            self.endpoints.note_version(server);
+            self.endpoints.log_new_version(server);
         }
         let state = server.map(|server| server.state);
         if state == Some(ServerState::Lost) {
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Another registry has heard servers.
+    /// Another registry has reported the heartbeats that it has received.
     pub(super) fn on_heartbeats_seen(&mut self, now: Micros, heartbeats: &[SeenHeartbeat]) {
         for seen in heartbeats {
             let Some(id) = self.endpoints.ids_by_key_hash.get(&seen.key_hash) else { continue };
@@ -270,7 +273,7 @@
         }
     }
 
-    /// The servers that have been heard here lately, for the other registries.
+    /// The recent heartbeats received here, for the other registries.
     pub(super) fn heartbeats_seen_here(&self, now: Micros) -> Vec<SeenHeartbeat> {
         let seen = self.endpoints.last_heartbeats.iter().filter_map(|(id, last)| {
             let age = now.saturating_sub(last.here?);
@@ -280,18 +283,19 @@
         seen.collect()
     }
 
-    /// For how long a server is silent until it is lost.
+    /// The silence after which a server is lost.
     fn server_timeout(&self) -> Micros {
         (LOST_AFTER_INTERVALS * self.config.heartbeat_interval as f64) as Micros
     }
 
-    /// A majority is reached again, after so long. Servers whose heartbeats nobody has acknowledged may call more and more seldom.
-    pub(super) fn postpone_losses(&mut self, now: Micros, after: Micros) {
+    /// Postpones the detection of lost servers when a majority is reached again after an outage of this duration: servers back
+    /// off while nobody acknowledges their heartbeats.
+    pub(super) fn postpone_losses(&mut self, now: Micros, outage: Micros) {
         let timeout = self.server_timeout();
-        self.endpoints.losses_from = now + timeout + after.min(2 * timeout);
+        self.endpoints.detect_losses_from = now + timeout + outage.min(2 * timeout);
     }
 
-    /// Deregisters servers that have been lost for long.
+    /// Deregisters servers that have been lost for [`LOST_LIMIT`].
     pub(super) fn remove_lost_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
         let time_of_day = self.time_of_day(now);
         let lost = self.endpoints.lost.iter().filter(|(_, since)| now >= **since + LOST_LIMIT);
@@ -299,15 +303,15 @@
         for id in ids {
             let tombstone = Server::tombstone(&id, time_of_day);
             if self.runtime_items_mut().merge(tombstone.clone()) {
-                self.note_server_item(&tombstone);
+                self.record_server_item(&tombstone);
                 self.send_update(tombstone, out);
             }
         }
     }
 
-    /// Marks servers as lost that nobody has heard, as long as this registry would have been told.
+    /// Marks servers as lost that no registry has received a heartbeat of, while this registry would learn of all heartbeats.
     pub(super) fn detect_lost_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if !self.majority.is_reached() || now < self.endpoints.losses_from {
+        if !self.majority.is_reached() || now < self.endpoints.detect_losses_from {
             return;
         }
         let timeout = self.server_timeout();
@@ -319,7 +323,7 @@
             if let Some(lost) = self.lost_item(&id) {
                 if self.runtime_items_mut().merge(lost.clone()) {
                     self.counters.servers_lost += 1;
-                    self.note_server_item(&lost);
+                    self.record_server_item(&lost);
                     log::info!("server {id} is lost: silent for {} ms", timeout / 1_000);
                     self.send_update(lost, out);
                 }
--- a/crates/registry/src/registry/currency.rs
+++ b/crates/registry/src/registry/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether what a registry has is current: a lease that rests on a store's own, and what is told of it.
+//! The lease during which a registry's configuration counts as current. It is derived from the lease of a store.
 
 use std::collections::BTreeMap;
 
@@ -11,74 +11,75 @@
 
 use super::{Output, Registry};
 
-/// A process that has just started may have no links yet.
+/// For this long after the start of the process links may not be up yet.
 pub(super) const START_GRACE: Micros = 1_000_000;
 
 // The lease of an epoch ends one `LEASE_DURATION` after the epoch was the newest, plus one for the registry's own lease.
 const _: () = assert!(JOINT_PERIOD > 2 * LEASE_DURATION + LEASE_DURATION / 10);
-// A change of the voters' names is agreed on no sooner than this after the one before.
+// Two changes of the voters' names are at least this far apart.
 const _: () = assert!(JOINT_PERIOD <= MEMBERSHIP_CHANGE_INTERVAL);
 
-/// What a store has confirmed.
+/// A store's confirmation that its replica is current.
 #[derive(Debug, Clone, Copy)]
 struct Confirmation {
-    /// The digest of its items.
+    /// The digest of the store's configuration items.
     digest: u64,
-    /// Until when they count as current.
+    /// When the confirmation expires.
     until: Micros,
 }
 
-/// The lease: what was left of a store's own, counted from before the store was asked. So it ends no later than the store's,
-/// and what a link or a stall has held up does not make it longer.
+/// The lease lasts for what was left of the store's own lease, counted from when the store was asked. So it ends no later than
+/// the store's, and delays on the link or stalls do not extend it.
 #[derive(Debug)]
-pub(super) struct CurrencyLease {
+pub(super) struct FreshnessLease {
     confirmations: BTreeMap<ConnectionId, Confirmation>,
     until: Micros,
-    /// Whether it held when it was reported last.
-    is_reported: bool,
+    /// Whether the last report to the proxies said that the lease was valid.
+    reported_valid: bool,
 }
 
-impl CurrencyLease {
-    /// A lease that has ended.
-    pub(super) fn new(now: Micros) -> CurrencyLease {
-        CurrencyLease { confirmations: BTreeMap::new(), until: now, is_reported: false }
+impl FreshnessLease {
+    /// Creates an expired lease.
+    pub(super) fn new(now: Micros) -> FreshnessLease {
+        FreshnessLease { confirmations: BTreeMap::new(), until: now, reported_valid: false }
     }
 
-    /// The connection to a store has gone.
+    /// Forgets the confirmation of a store whose connection has closed.
     pub(super) fn store_disconnected(&mut self, connection: ConnectionId) {
         self.confirmations.remove(&connection);
     }
 
-    /// Renews the lease if the items here have a digest that a store has confirmed. What a store had at a moment is held from
-    /// then on, whatever is added to it.
+    /// Renews the lease if the configuration here has a digest that a store has confirmed. Later changes do not end the lease:
+    /// merging never removes what was committed.
     pub(super) fn compare(&mut self, own_digest: u64) {
         let equal = self.confirmations.values().filter(|confirmation| confirmation.digest == own_digest);
         let until = equal.map(|confirmation| confirmation.until).max().unwrap_or(0);
         self.until = self.until.max(until);
     }
 
-    /// Whether a store has confirmed lately that it is current.
+    /// Whether a store's confirmation has not expired yet.
     pub(super) fn is_confirmed_by(&self, store: ConnectionId, now: Micros) -> bool {
         self.confirmations.get(&store).is_some_and(|confirmation| now < confirmation.until)
     }
 
-    /// Whether less than half of it is left.
-    pub(super) fn is_waning(&self, now: Micros) -> bool {
+    /// Whether less than half of [`LEASE_DURATION`] is left.
+    pub(super) fn needs_renewal(&self, now: Micros) -> bool {
         now + LEASE_DURATION / 2 > self.until
     }
 
-    /// How long ago it has ended.
-    pub(super) fn ended_for(&self, now: Micros) -> Micros {
+    /// How long ago the lease expired; 0 while it is valid.
+    pub(super) fn time_since_expiry(&self, now: Micros) -> Micros {
         now.saturating_sub(self.until)
     }
 }
 
 impl Registry {
-    /// Whether it has all that was committed at a moment not long ago.
+    /// Whether the configuration here includes all changes committed before a recent time, as the lease guarantees.
     pub fn is_current(&self, now: Micros) -> bool {
         now < self.lease.until
     }
 
+    /// Takes over the voters of a new epoch.
     pub(super) fn set_voters(&mut self, now: Micros, membership: Membership) {
         let members = membership.names();
         log::info!("epoch {}: voters are {}", membership.epoch, members.join(", "));
@@ -88,14 +89,14 @@
         self.duties.set_voters(now, voters);
     }
 
-    /// A store has confirmed that its replica, which had this digest, is current until then.
+    /// A store has confirmed that its replica, which had this digest, is current until the given time.
     pub(super) fn store_confirmed(&mut self, store: ConnectionId, digest: u64, until: Micros) {
         self.lease.confirmations.insert(store, Confirmation { digest, until });
         self.compare_with_stores();
     }
 
-    /// The answer to a proxy that asks whether this registry is current: what is left of the lease; `None` if nothing is. A part
-    /// of an operator's update is no configuration to start with.
+    /// The answer to a proxy that asks whether this registry is current: the remaining time of the lease. `None` if the lease has
+    /// expired or the configuration is withheld: a proxy must not start with a part of an operator's update.
     pub(super) fn current_confirmation(
         &self,
         now: Micros,
@@ -109,10 +110,10 @@
             .then_some(Output::Send(connection, PeerMessage::Current { asked_at, epoch, digest, lease_left }))
     }
 
-    /// Tells the proxies at once when it has become current, or is not any more: a proxy that starts waits for it.
-    pub(super) fn report_currency(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Sends the proxies the status at once when the lease becomes valid or expires: a starting proxy waits for this.
+    pub(super) fn report_freshness(&mut self, now: Micros, out: &mut Vec<Output>) {
         let is_current = self.is_current(now);
-        if std::mem::replace(&mut self.lease.is_reported, is_current) == is_current {
+        if std::mem::replace(&mut self.lease.reported_valid, is_current) == is_current {
             return;
         }
         if is_current {
--- a/crates/registry/src/registry/messages.rs
+++ b/crates/registry/src/registry/messages.rs
@@ -1,4 +1,4 @@
-//! Connections of other processes, and one handler for each message.
+//! Handles connections of other processes and dispatches their messages by role.
 
 use pinerelay_admission::duty::DutyMessage;
 use pinerelay_admission::lease::LeaseRequest;
@@ -12,24 +12,24 @@
 };
 
 use super::processes::PeerRegistry;
-use super::replication::Arrival;
+use super::replication::Delivery;
 use super::{Output, Registry};
 
 impl Registry {
-    /// A connection has come up: both ends introduce themselves.
+    /// A connection is up: sends a hello message, as the other end does.
     pub fn connected(&mut self, connection: ConnectionId, out: &mut Vec<Output>) {
         out.push(Output::Send(connection, PeerMessage::Hello(self.config.hello.clone())));
     }
 
-    /// A connection has gone.
+    /// A connection has closed.
     pub fn disconnected(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<Output>) {
         self.stores.remove(&connection);
         self.last_sync.remove(&connection);
         self.rollout_duty.disconnected(connection);
         self.lease.store_disconnected(connection);
         let Some(hello) = self.peers.remove(&connection) else { return };
-        self.forward_reads_again(now, connection, out);
-        self.replicate_again(connection, &hello.ip, out);
+        self.retry_reads(now, connection, out);
+        self.retry_replication(connection, &hello.ip, out);
         let is_linked = self.peers.values().any(|peer| peer.role == hello.role && peer.node == hello.node);
         if hello.role == Role::Registry && !is_linked {
             self.registries.remove(&hello.ip);
@@ -47,27 +47,28 @@
     ) {
         match (message, self.peers.get(&connection).cloned()) {
             (PeerMessage::Hello(hello), None) => self.on_hello(now, connection, hello, out),
-            // A connection belongs to one process at each end.
+            // A connection starts with exactly one hello message, and belongs to one process at each end.
             (PeerMessage::Hello(_), Some(_)) | (_, None) => out.push(Output::Close(connection)),
             (PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS), Some(_)) => {
-                self.rollout_duty.peer_understands(connection);
+                self.rollout_duty.peer_supports_rollouts(connection);
             }
             (message, Some(peer)) => {
-                self.note_heard(now, connection, &peer);
+                self.record_message(now, connection, &peer);
                 match peer.role {
                     Role::Proxy => self.receive_from_proxy(now, connection, &peer, message, out),
                     Role::Registry => self.receive_from_registry(now, connection, &peer, message, out),
                     Role::ConfigStore => self.receive_from_store(now, connection, &peer, message, out),
                     Role::Observer => self.receive_from_any(now, connection, &peer, message, out),
                 }
-                self.report_currency(now, out);
+                self.report_freshness(now, out);
             }
         }
     }
 
-    fn note_heard(&mut self, now: Micros, connection: ConnectionId, peer: &Hello) {
+    /// Records when a peer has sent a message.
+    fn record_message(&mut self, now: Micros, connection: ConnectionId, peer: &Hello) {
         match peer.role {
-            Role::Proxy => self.proxy_heard(now, &peer.node),
+            Role::Proxy => self.record_proxy_message(now, &peer.node),
             Role::ConfigStore => self.stores.entry(connection).or_default().last_message = now,
             Role::Registry | Role::Observer => {}
         }
@@ -83,7 +84,7 @@
     ) {
         match message {
             PeerMessage::Goodbye => {
-                // It has shut down as planned: nothing has to be reserved for it.
+                // A planned shutdown: no share has to stay reserved for the proxy.
                 self.peers.remove(&connection);
                 self.proxy_ended(now, &peer.node);
             }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Handles messages that any process may send.
+    /// Handles messages that processes of any role may send.
     fn receive_from_any(
         &mut self,
         now: Micros,
@@ -154,11 +155,11 @@
         message: PeerMessage,
         out: &mut Vec<Output>,
     ) {
-        // An observer changes nothing.
+        // An observer must not change items.
         let is_observer = peer.role == Role::Observer;
         match message {
             PeerMessage::Update(items) if !is_observer => {
-                self.merge(connection, peer, items, Arrival::WholeCall, out);
+                self.merge(connection, peer, items, Delivery::CompleteUpdate, out);
             }
             PeerMessage::Digests(digests) => self.on_digests(connection, peer, digests, out),
             PeerMessage::Sync { realm, items, parts } => {
@@ -175,6 +176,7 @@
         }
     }
 
+    /// A process has introduced itself on a connection.
     fn on_hello(&mut self, now: Micros, connection: ConnectionId, hello: Hello, out: &mut Vec<Output>) {
         let role = hello.role;
         let earlier = self.process_ids.insert((role, hello.node.clone()), hello.process_id);
@@ -184,7 +186,7 @@
                 if earlier.is_some() && is_new_process {
                     self.proxy_ended(now, &hello.node);
                 }
-                self.proxy_heard(now, &hello.node);
+                self.record_proxy_message(now, &hello.node);
             }
             Role::Registry if is_new_process => self.duties.peer_restarted(now, &hello.ip),
             _ => {}
@@ -219,6 +221,7 @@
         out.push(Output::Send(connection, PeerMessage::LeaseGrants(grants)));
     }
 
+    /// Takes part in an anti-entropy exchange: merges the items, and answers the parts that differ.
     fn on_sync(
         &mut self,
         connection: ConnectionId,
@@ -229,12 +232,14 @@
         out: &mut Vec<Output>,
     ) {
         self.last_sync.insert(connection, self.last_tick);
-        let goes_on = items.is_empty() || self.merge(connection, peer, items, Arrival::Piece, out);
-        if goes_on {
+        let should_reply =
+            items.is_empty() || self.merge(connection, peer, items, Delivery::AntiEntropy, out);
+        if should_reply {
             self.send_sync_reply(connection, peer, realm, parts, out);
         }
     }
 
+    /// Merges items that another registry replicates, and acknowledges them.
     fn on_replicate(
         &mut self,
         now: Micros,
@@ -244,15 +249,16 @@
         items: Vec<Item>,
         out: &mut Vec<Output>,
     ) {
-        self.merge(connection, peer, items, Arrival::WholeCall, out);
-        // The sender relies on this to be from a registry that reaches the proxies.
-        if self.is_in_contact(now) {
+        self.merge(connection, peer, items, Delivery::CompleteUpdate, out);
+        // The sender relies on the acknowledging registry to reach the proxies.
+        if self.presumes_majority(now) {
             out.push(Output::Send(connection, PeerMessage::Replicated(number)));
         }
     }
 
+    /// Another registry has sent its status.
     fn on_registry_status(&mut self, peer: &Hello, status: RegistryStatus) {
-        // It has had this process's hello: nothing is sent before.
+        // A registry sends its status only after it has received this process's hello.
         self.duties.peer_introduced(&peer.ip);
         if status.epoch_settled {
             self.duties.epoch_settled(status.epoch);
@@ -264,9 +270,10 @@
     fn on_duty(&mut self, now: Micros, peer: &Hello, message: DutyMessage, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.duties.receive(now, &peer.ip, message, &mut actions);
-        self.carry_out_duty_actions(now, actions, out);
+        self.apply_duty_actions(now, actions, out);
     }
 
+    /// A store has sent its status: updates the voters, and requests a confirmation if the lease needs one.
     fn on_store_status(
         &mut self,
         now: Micros,
@@ -282,7 +289,7 @@
         if is_newer {
             self.set_voters(now, membership);
         }
-        if is_current && (is_newer || self.lease.is_waning(now)) {
+        if is_current && (is_newer || self.lease.needs_renewal(now)) {
             out.push(Output::Send(connection, PeerMessage::ConfirmCurrent(now)));
         }
     }
@@ -297,7 +304,8 @@
         digest: u64,
         lease_left: u64,
     ) {
-        // Duties may rest on it for longer than the store's own lease: `JOINT_PERIOD` counts on twice `LEASE_DURATION`.
+        // For duties the epoch counts as confirmed for a full `LEASE_DURATION`, which may outlast the store's own lease:
+        // `JOINT_PERIOD` allows for twice `LEASE_DURATION`.
         let duties_until = asked_at.saturating_add(LEASE_DURATION);
         if asked_at <= now && now < duties_until {
             self.duties.epoch_confirmed(epoch, duties_until);
--- a/crates/registry/src/registry/processes.rs
+++ b/crates/registry/src/registry/processes.rs
@@ -1,4 +1,4 @@
-//! The processes that a registry knows: stores, other registries, and the proxies that share the tenants' rates.
+//! Tracks the processes that a registry knows: stores, other registries, and the proxies that share the tenants' quotas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,59 +9,60 @@
 
 use super::{Output, Registry};
 
-/// A proxy that has been silent for so long counts as missing.
+/// A proxy counts as missing once it has been silent for this long.
 const PROXY_TIMEOUT: Micros = 650_000;
-/// A proxy counts as missing for so long at the most: then its share has ended.
+/// A missing proxy is forgotten after this time, when its quota share has expired.
 const MISSING_LIMIT: Micros = SHARE_LIFETIME;
 
-/// What is known of a store that this registry is linked to.
+/// The state of a store that this registry is linked to.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StoreLink {
     /// Whether its replica is complete; `None` until it has reported its status.
     pub is_complete: Option<bool>,
-    /// The digest of its configuration items, once it has sent it.
+    /// The last digest of its configuration items; `None` until it has sent one.
     pub config_digest: Option<u64>,
-    /// When it last sent something.
+    /// When its last message arrived, or the first tick after a later stall ran.
     pub last_message: Micros,
 }
 
-/// What another registry has reported of itself.
+/// What another registry has reported in its last status.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerRegistry {
     /// The number of proxies that it knows.
     pub proxies: u32,
-    /// The registries that it reaches.
+    /// The IP addresses of the registries that it is linked to, and its own.
     pub registries: Vec<String>,
 }
 
-/// The place of a proxy among all of them.
+/// The position of a proxy among all proxies, by which they share quotas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct ProxyPlace {
+struct ProxyPosition {
     index: u32,
     proxies: u32,
 }
 
-/// What is known of the proxies, by their machines.
+/// The state of the proxies, by their nodes.
 #[derive(Debug, Default)]
 pub(super) struct Proxies {
-    /// When each proxy was last heard.
-    pub last_heard: BTreeMap<String, Micros>,
-    /// Proxies that are not heard any more, and since when.
+    /// When the last message of each proxy arrived, except missing ones.
+    pub last_seen: BTreeMap<String, Micros>,
+    /// Proxies that have fallen silent, and when their last message arrived; for those that only the machine's store knew, when
+    /// its list arrived.
     pub missing: BTreeMap<String, Micros>,
-    /// The proxies that the machine's store keeps; `None` until it has told those of an earlier process.
+    /// The proxies that the machine's store has recorded; `None` until it has sent the list of an earlier process.
     pub stored: Option<Vec<String>>,
-    /// The place that was last sent to each proxy.
-    places: BTreeMap<ConnectionId, ProxyPlace>,
+    /// The position that was last sent to each proxy.
+    positions: BTreeMap<ConnectionId, ProxyPosition>,
 }
 
 impl Registry {
-    /// The connections of a program's processes.
+    /// The connections to processes of a role.
     pub(super) fn connections_of(&self, role: Role) -> Vec<ConnectionId> {
         let of_role = self.peers.iter().filter(|(_, hello)| hello.role == role);
         of_role.map(|(&connection, _)| connection).collect()
     }
 
-    /// One connection to each other registry that it is linked to, by address.
+    /// One connection to each linked registry, by IP address.
     pub(super) fn registry_connections(&self) -> BTreeMap<String, ConnectionId> {
         let registries = self.peers.iter().filter(|(_, hello)| hello.role == Role::Registry);
         registries.map(|(&connection, hello)| (hello.ip.clone(), connection)).collect()
@@ -73,7 +74,8 @@
         reported.map(|(&connection, _)| connection)
     }
 
-    /// The store on its own machine, which keeps the servers in case all processes lose their memory at once.
+    /// The store on this machine, if it has reported its status. It persists the servers in case all processes lose their memory
+    /// at once.
     pub(super) fn own_store(&self) -> Option<ConnectionId> {
         let is_own = |connection: &ConnectionId| {
             self.peers.get(connection).is_some_and(|hello| hello.ip == self.config.hello.ip)
@@ -81,32 +83,32 @@
         self.reported_stores().find(is_own)
     }
 
-    /// The number of proxies that are linked to it.
+    /// The number of linked proxies.
     pub(super) fn linked_proxies(&self) -> usize {
         let proxies = self.peers.values().filter(|hello| hello.role == Role::Proxy);
         proxies.map(|hello| &hello.node).collect::<BTreeSet<_>>().len()
     }
 
-    /// The number of proxies that it knows: linked and missing ones.
+    /// The number of linked and missing proxies.
     pub(super) fn known_proxies(&self) -> usize {
         self.linked_proxies() + self.proxies.missing.len()
     }
 
-    /// The number of proxies that share the tenants' rates, as far as any registry knows.
+    /// The number of proxies that share the tenants' quotas: the largest number that this or another registry knows.
     pub(super) fn total_proxies(&self) -> usize {
         let elsewhere = self.registries.values().map(|registry| registry.proxies as usize).max();
         elsewhere.unwrap_or(0).max(self.known_proxies())
     }
 
-    /// A proxy is heard.
-    pub(super) fn proxy_heard(&mut self, now: Micros, node: &str) {
+    /// Records that a message of a proxy has arrived.
+    pub(super) fn record_proxy_message(&mut self, now: Micros, node: &str) {
         if self.proxies.missing.remove(node).is_some() {
             self.quota_duty.proxy_returned(now, node);
         }
-        match self.proxies.last_heard.get_mut(node) {
-            Some(last_heard) => *last_heard = now,
+        match self.proxies.last_seen.get_mut(node) {
+            Some(last_seen) => *last_seen = now,
             None => {
-                self.proxies.last_heard.insert(node.into(), now);
+                self.proxies.last_seen.insert(node.into(), now);
             }
         }
     }
@@ -114,24 +116,24 @@
     /// A proxy's process has ended, and all its leases with it.
     pub(super) fn proxy_ended(&mut self, now: Micros, node: &str) {
         self.proxies.missing.remove(node);
-        self.proxies.last_heard.remove(node);
+        self.proxies.last_seen.remove(node);
         self.quota_duty.proxy_ended(now, node);
         self.rollout_duty.proxy_ended(node);
     }
 
-    /// Counts proxies as missing that have been silent for too long. Their shares are reserved from when they were last heard.
+    /// Marks proxies as missing after [`PROXY_TIMEOUT`]. Their shares are reserved from when their last message arrived.
     pub(super) fn detect_missing_proxies(&mut self, now: Micros) {
-        let last_heard = self.proxies.last_heard.iter();
-        let silent = last_heard.filter(|(_, last_heard)| now >= **last_heard + PROXY_TIMEOUT);
+        let last_seen = self.proxies.last_seen.iter();
+        let silent = last_seen.filter(|(_, last_seen)| now >= **last_seen + PROXY_TIMEOUT);
         let silent: Vec<(String, Micros)> = silent.map(|(node, &since)| (node.clone(), since)).collect();
         for (node, since) in silent {
-            self.proxies.last_heard.remove(&node);
+            self.proxies.last_seen.remove(&node);
             self.quota_duty.proxy_missing(now, &node, since);
             self.proxies.missing.insert(node, since);
         }
     }
 
-    /// Forgets proxies that have been missing for longer than their shares last.
+    /// Forgets proxies that have been missing for [`MISSING_LIMIT`]: their shares have expired.
     pub(super) fn forget_missing_proxies(&mut self, now: Micros) {
         let missing = self.proxies.missing.iter();
         let expired = missing.filter(|(_, since)| now >= **since + MISSING_LIMIT);
@@ -139,36 +141,37 @@
         expired.iter().for_each(|node| self.proxy_ended(now, node));
     }
 
-    /// The machine's store has told the proxies that an earlier process knew. Those that are not heard yet may be cut off, and
-    /// spend the share that the earlier process granted.
+    /// The machine's store has sent the proxies that an earlier process of this registry knew. Those that have not sent a message
+    /// yet count as missing: they may be partitioned and spend the share that the earlier process granted.
     pub(super) fn on_known_proxies(&mut self, now: Micros, machines: Vec<String>) {
         if self.proxies.stored.is_none() {
-            let unheard = machines.into_iter().filter(|node| !self.proxies.last_heard.contains_key(node));
-            let unheard: Vec<(String, Micros)> = unheard.map(|node| (node, now)).collect();
-            self.proxies.missing.extend(unheard);
+            let not_seen = machines.into_iter().filter(|node| !self.proxies.last_seen.contains_key(node));
+            let not_seen: Vec<(String, Micros)> = not_seen.map(|node| (node, now)).collect();
+            self.proxies.missing.extend(not_seen);
             self.proxies.stored = Some(Vec::new());
         }
     }
 
-    /// Sends each proxy its place among all of them, and the machine's store all proxies, where that has changed.
-    pub(super) fn send_proxy_places(&mut self, out: &mut Vec<Output>) {
+    /// Sends each linked proxy its position, and the machine's store the list of proxies, where these have changed.
+    pub(super) fn send_proxy_positions(&mut self, out: &mut Vec<Output>) {
         let linked = self.peers.iter().filter(|(_, hello)| hello.role == Role::Proxy);
         let linked: BTreeMap<ConnectionId, String> =
             linked.map(|(&connection, hello)| (connection, hello.node.clone())).collect();
         let nodes = linked.values().chain(self.proxies.missing.keys());
         let nodes: Vec<String> = nodes.collect::<BTreeSet<_>>().into_iter().cloned().collect();
-        self.proxies.places.retain(|connection, _| linked.contains_key(connection));
+        self.proxies.positions.retain(|connection, _| linked.contains_key(connection));
         self.store_proxies(&nodes, out);
         let proxies = self.total_proxies().max(nodes.len()) as u32;
         for (&connection, node) in &linked {
             let index = nodes.iter().position(|other| other == node).unwrap_or(0) as u32;
-            let place = ProxyPlace { index, proxies };
-            if self.proxies.places.insert(connection, place) != Some(place) {
+            let new_position = ProxyPosition { index, proxies };
+            if self.proxies.positions.insert(connection, new_position) != Some(new_position) {
                 out.push(Output::Send(connection, PeerMessage::ProxyPlace { index, proxies }));
             }
         }
     }
 
+    /// Sends the machine's store the known proxies if they differ from those it has recorded.
     fn store_proxies(&mut self, nodes: &[String], out: &mut Vec<Output>) {
         let (Some(store), Some(stored)) = (self.own_store(), &self.proxies.stored) else { return };
         if stored != nodes {
@@ -177,16 +180,16 @@
         }
     }
 
-    /// The processes that it knows. Observers are not among them.
+    /// The linked processes and this one, the missing proxies, and the voters. Observers are left out.
     pub(super) fn process_list(&self) -> ProcessList {
         let linked = self.peers.values().filter(|hello| hello.role != Role::Observer);
         let mut linked: Vec<Hello> = linked.chain([&self.config.hello]).cloned().collect();
         linked.sort_by(|a, b| (&a.ip, a.role, a.process_id).cmp(&(&b.ip, b.role, b.process_id)));
         linked.dedup();
-        // A proxy whose link has broken is not missing at once; but it has not ended as planned, either.
+        // A proxy whose link broke without a planned shutdown is listed as missing before its timeout, too.
         let is_linked =
             |node: &&String| linked.iter().any(|hello| hello.role == Role::Proxy && hello.node == **node);
-        let known = self.proxies.missing.keys().chain(self.proxies.last_heard.keys());
+        let known = self.proxies.missing.keys().chain(self.proxies.last_seen.keys());
         let mut missing: Vec<String> = known.filter(|node| !is_linked(node)).cloned().collect();
         missing.sort();
         missing.dedup();
--- a/crates/registry/src/registry/quota_duty.rs
+++ b/crates/registry/src/registry/quota_duty.rs
@@ -1,4 +1,4 @@
-//! The count of the tenants' quota units, for those tenants whose duty is here.
+//! Allocates quota leases of tenants to proxies, for the slices of tenants whose duty this registry holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,42 +12,45 @@
 
 use super::{Output, Registry};
 
-/// An update that was sent before a duty was acquired has arrived after so long.
+/// The maximum delay of an update: one that was sent before a duty was acquired has arrived this long after.
 const UPDATE_DELAY: Micros = 5_000_000;
-/// At the first start of the system nobody can have had a duty and lost it within the time of a promise.
+/// At the first start of the system a duty acquired within this time had no earlier holder: it is shorter than the time for which
+/// a holder is promised a duty.
 const FIRST_START_PERIOD: Micros = 850_000;
 
+/// The quota of a tenant.
 fn quota_of(tenant: &Tenant) -> Quota {
     Quota { rate: tenant.rate, burst: tenant.burst }
 }
 
-/// A slice that this registry acts for.
+/// A slice of tenants whose duty this registry has acquired.
 #[derive(Debug, Clone, Copy, Default)]
 struct AcquiredSlice {
     fencing_token: u64,
-    at: Micros,
+    /// When the duty was acquired.
+    acquisition_time: Micros,
 }
 
-/// The counts of this registry.
+/// The state of quota allocation.
 #[derive(Debug, Default)]
 pub(super) struct QuotaDuty {
-    /// How many slices it acted for when that was logged last.
+    /// The number of held slices that was last logged.
     logged_slices: usize,
-    /// By slice.
+    /// The last acquisition of each slice, by its index.
     acquired: BTreeMap<usize, AcquiredSlice>,
-    /// By tenant.
+    /// By the tenant's name.
     allocators: BTreeMap<String, QuotaAllocator>,
-    /// When each tenant came, if that was after this process had the complete configuration; otherwise 0.
+    /// When each tenant was first seen; 0 if that was before the configuration here was complete.
     first_seen: BTreeMap<String, Micros>,
 }
 
 impl QuotaDuty {
-    /// A proxy is missing.
+    /// A proxy counts as missing since the given time.
     pub(super) fn proxy_missing(&mut self, now: Micros, node: &str, since: Micros) {
         self.allocators.values_mut().for_each(|allocator| allocator.proxy_missing(now, node, since));
     }
 
-    /// A missing proxy is heard again.
+    /// A missing proxy has sent a message again.
     pub(super) fn proxy_returned(&mut self, now: Micros, node: &str) {
         self.allocators.values_mut().for_each(|allocator| allocator.proxy_returned(now, node));
     }
@@ -59,21 +62,22 @@
 }
 
 impl Registry {
-    /// Duties follow the registries that are alive.
+    /// Updates the duties from the registries that are linked, and then the allocators.
     pub(super) fn update_duties(&mut self, now: Micros, out: &mut Vec<Output>) {
         let alive: BTreeSet<String> = self.registry_connections().into_keys().collect();
         let mut actions = Vec::new();
         self.duties.tick(now, alive, &mut actions);
-        self.carry_out_duty_actions(now, actions, out);
+        self.apply_duty_actions(now, actions, out);
         let held = self.duties.held_count(now);
         if held != self.quota_duty.logged_slices {
-            log::info!("acts for {held} of {SLICE_COUNT} slices of the tenants");
+            log::info!("holds the duty for {held} of {SLICE_COUNT} slices of the tenants");
             self.quota_duty.logged_slices = held;
         }
         self.update_allocators(now);
     }
 
-    pub(super) fn carry_out_duty_actions(
+    /// Carries out the actions of the duty table.
+    pub(super) fn apply_duty_actions(
         &mut self,
         now: Micros,
         actions: Vec<DutyAction>,
@@ -87,22 +91,22 @@
                         out.push(Output::Send(connection, PeerMessage::Duty(message)));
                     }
                 }
-                DutyAction::Acquired(slice) => self.slice_acquired(now, slice),
+                DutyAction::Acquired(slice) => self.on_slice_acquired(now, slice),
             }
         }
     }
 
-    /// What the earlier holder of a slice has granted is not known.
-    fn slice_acquired(&mut self, now: Micros, slice: usize) {
+    /// Takes over a slice with a new fencing token. Its allocators start anew, as the grants of the previous holder are unknown.
+    fn on_slice_acquired(&mut self, now: Micros, slice: usize) {
         let number = self.next_number();
         let fencing_token = self.config.hello.process_id.wrapping_add(number);
-        self.quota_duty.acquired.insert(slice, AcquiredSlice { fencing_token, at: now });
+        self.quota_duty.acquired.insert(slice, AcquiredSlice { fencing_token, acquisition_time: now });
         self.quota_duty.allocators.retain(|tenant, _| slice_of(tenant) != slice);
     }
 
-    /// Creates the counts of tenants whose duty is here, before they are asked for, and follows changed quotas.
+    /// Creates the allocators of tenants whose duty is held here before the first lease request, and applies changed quotas.
     fn update_allocators(&mut self, now: Micros) {
-        self.note_new_tenants(now);
+        self.record_new_tenants(now);
         for tenant in self.table.tenants().iter().filter(|tenant| tenant.rate > 0.0) {
             let quota = quota_of(tenant);
             match self.quota_duty.allocators.get_mut(&tenant.name) {
@@ -116,8 +120,9 @@
         }
     }
 
-    fn note_new_tenants(&mut self, now: Micros) {
-        // What came with the complete configuration may be older than this process.
+    /// Records when new tenants were first seen.
+    fn record_new_tenants(&mut self, now: Micros) {
+        // Tenants of the initial configuration may be older than this process.
         let first_seen = if self.is_complete { now } else { 0 };
         for tenant in self.table.tenants() {
             if !self.quota_duty.first_seen.contains_key(&tenant.name) {
@@ -126,12 +131,13 @@
         }
     }
 
-    /// A count begins without units, unless its tenant is new and nobody can have granted any.
+    /// Creates an allocator. It starts without units, unless no earlier holder can have granted any: the tenant is new, or this
+    /// is the first holder of the duty.
     fn new_allocator(&self, now: Micros, tenant: &Tenant) -> QuotaAllocator {
         let acquired = self.quota_duty.acquired.get(&slice_of(&tenant.name));
-        let acquired_at = acquired.map_or(now, |slice| slice.at);
+        let acquired_at = acquired.map_or(now, |slice| slice.acquisition_time);
         let first_seen = self.quota_duty.first_seen.get(&tenant.name).copied().unwrap_or(0);
-        // The duty may have changed hands before the update arrived that brought the tenant.
+        // The previous holder may have received the tenant's update before this registry did.
         let is_new_tenant = first_seen > acquired_at.saturating_add(UPDATE_DELAY);
         let is_first_duty = self.config.first_start && acquired_at < FIRST_START_PERIOD;
         if is_new_tenant || is_first_duty {
@@ -141,17 +147,18 @@
         }
     }
 
-    /// Whether proxies are cut off that a tenant's count has never heard of: an earlier count may have granted them a share.
-    fn has_strangers(&self, tenant: &str) -> bool {
+    /// Whether there may be unreachable proxies that a tenant's allocator does not know: a previous holder may have granted them
+    /// a share.
+    fn has_unknown_proxies(&self, tenant: &str) -> bool {
         let allocator = self.quota_duty.allocators.get(tenant);
         let is_known = |node: &String| allocator.is_some_and(|allocator| allocator.knows(node));
         let elsewhere = self.total_proxies().saturating_sub(self.known_proxies());
-        // Until its machine's store has told what it kept, a registry does not know who was cut off when it started.
+        // Until the machine's store has sent its list, proxies that were unreachable at the start are unknown.
         let knows_earlier_proxies = self.proxies.stored.is_some();
         !knows_earlier_proxies || elsewhere > 0 || self.proxies.missing.keys().any(|node| !is_known(node))
     }
 
-    /// Counts that have heard of every proxy since they began reserve nothing for others.
+    /// Releases the shares reserved for unknown proxies in allocators that know every proxy.
     pub(super) fn release_reserved_shares(&mut self, now: Micros) {
         let linked = self.peers.values().filter(|hello| hello.role == Role::Proxy).map(|hello| &hello.node);
         let nodes: BTreeSet<&String> = linked.chain(self.proxies.missing.keys()).collect();
@@ -190,6 +197,7 @@
         grants
     }
 
+    /// Answers one lease request.
     fn grant_lease(&mut self, now: Micros, node: &str, request: &LeaseRequest) -> LeaseGrant {
         let slice = slice_of(&request.tenant);
         let Some(tenant) = self.table.tenant_by_name(&request.tenant) else { return LeaseGrant::NotOwner };
@@ -198,7 +206,7 @@
             return LeaseGrant::NotOwner;
         }
         let quota = quota_of(tenant);
-        let has_strangers = self.has_strangers(&request.tenant);
+        let has_unknown_proxies = self.has_unknown_proxies(&request.tenant);
         let AcquiredSlice { fencing_token, .. } =
             self.quota_duty.acquired.get(&slice).copied().unwrap_or_default();
         let mut usage = request.usage();
@@ -208,7 +216,7 @@
         let allocators = &mut self.quota_duty.allocators;
         let allocator =
             allocators.entry(request.tenant.clone()).or_insert_with(|| QuotaAllocator::new(now, quota));
-        let Allocation { units, share } = allocator.draw(now, node, has_strangers, &usage);
+        let Allocation { units, share } = allocator.draw(now, node, has_unknown_proxies, &usage);
         match units {
             Ok(units) => {
                 self.counters.units_leased += units as u64;
--- a/crates/registry/src/registry/replication.rs
+++ b/crates/registry/src/registry/replication.rs
@@ -1,7 +1,7 @@
-//! What a registry takes over from others and passes on: updates at once, the rest by anti-entropy.
+//! Replication of items: updates are relayed at once, and anti-entropy repairs what they missed.
 //!
-//! Proxies receive the configuration in whole operator's calls only. Anti-entropy brings a call in pieces, so while it is under
-//! way between this registry and a store, proxies receive nothing of the configuration from here; they have other registries.
+//! Proxies must not receive a part of an operator's update. Anti-entropy may split an update, so while an exchange with a store
+//! is incomplete, this registry withholds the configuration from proxies; they are linked to other registries, too.
 
 use pinerelay_admission::Micros;
 use pinerelay_config_state::anti_entropy::{fits_one_message, SyncPart};
@@ -12,35 +12,36 @@
 
 use super::{Output, Registry, STATUS_INTERVAL};
 
-/// Proxies receive a configuration that came in pieces after so long at the latest.
+/// The configuration is withheld from proxies for at most this long.
 const WITHHOLD_LIMIT: Micros = 1_000_000;
 
-/// In which portions items have arrived.
+/// Whether received items may be only a part of an operator's update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Arrival {
-    /// All items of an operator's call together.
-    WholeCall,
-    /// As anti-entropy divides them.
-    Piece,
+pub(super) enum Delivery {
+    /// All items of an update arrived in one message.
+    CompleteUpdate,
+    /// The items arrived by anti-entropy, which may split an update.
+    AntiEntropy,
 }
 
-/// Whether the configuration here may hold a part of an operator's call.
+/// Whether the configuration here may contain only a part of an operator's update.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum PartialUpdate {
-    /// It has been equal to that of a store since the last piece came.
+    /// No items arrived by anti-entropy since it was last equal to that of a store.
     #[default]
     No,
-    /// Pieces have come since this moment.
+    /// Anti-entropy has brought items since this time.
     Since(Micros),
 }
 
 impl PartialUpdate {
-    /// Whether proxies do not receive it yet.
+    /// Whether the configuration is still withheld from proxies.
     pub(super) fn is_withheld(self, now: Micros) -> bool {
         matches!(self, PartialUpdate::Since(since) if now < since + WITHHOLD_LIMIT)
     }
 }
 
+/// The index of the realm that an item belongs to.
 fn realm_of(item: &Item) -> u8 {
     if item.key.kind.is_config() {
         CONFIG_REALM
@@ -50,14 +51,14 @@
 }
 
 impl Registry {
-    /// Takes over items that are new, and passes them on to those who have not received them from their source. Returns whether
-    /// there were any.
+    /// Merges received items, and relays the new ones to peers that the sender does not reach. Returns whether there were any new
+    /// ones.
     pub(super) fn merge(
         &mut self,
         from: ConnectionId,
         peer: &Hello,
         items: Vec<Item>,
-        arrival: Arrival,
+        delivery: Delivery,
         out: &mut Vec<Output>,
     ) -> bool {
         let mut updates = self.merge_items(items);
@@ -66,35 +67,37 @@
         }
         if updates.iter().any(|item| item.key.kind.is_config()) {
             updates.iter().for_each(|item| self.table.apply(item));
-            if arrival == Arrival::Piece {
+            if delivery == Delivery::AntiEntropy {
                 self.begin_partial_update();
                 updates.retain(|item| !item.key.kind.is_config());
             }
             self.compare_with_stores();
             self.end_partial_update(out);
         }
-        self.pass_on(from, peer, updates, out);
+        self.relay_updates(from, peer, updates, out);
         true
     }
 
+    /// Merges items except expired tombstones, and returns those that are new.
     fn merge_items(&mut self, items: Vec<Item>) -> Vec<Item> {
         let mut updates = Vec::new();
         let time_of_day = self.time_of_day(self.last_tick);
         for item in items.into_iter().filter(|item| !Server::is_expired_tombstone(item, time_of_day)) {
             if self.realms[usize::from(realm_of(&item))].merge(item.clone()) {
-                self.note_server_item(&item);
+                self.record_server_item(&item);
                 updates.push(item);
             }
         }
         updates
     }
 
-    fn pass_on(&mut self, from: ConnectionId, peer: &Hello, updates: Vec<Item>, out: &mut Vec<Output>) {
+    /// Relays new items to the peers that the process which sent them does not reach itself.
+    fn relay_updates(&mut self, from: ConnectionId, peer: &Hello, updates: Vec<Item>, out: &mut Vec<Output>) {
         if updates.is_empty() {
             return;
         }
         let mut receivers = Vec::new();
-        if !self.reaches_all_proxies(peer) {
+        if !self.sends_to_all_proxies(peer) {
             receivers.extend(self.connections_of(Role::Proxy));
         }
         if peer.role == Role::Proxy {
@@ -104,7 +107,7 @@
             receivers.extend(self.own_store());
         }
         receivers.retain(|connection| *connection != from);
-        // Many items would hold up the messages behind them: the receivers fetch those by anti-entropy.
+        // A long message would delay those behind it: the receivers fetch many items by anti-entropy.
         let message = if fits_one_message(&updates) {
             PeerMessage::Update(updates)
         } else {
@@ -113,13 +116,14 @@
         out.push(Output::Broadcast(receivers, message));
     }
 
-    /// Whether a process is a registry that sends its updates to all proxies itself; anti-entropy brings what they miss. A
-    /// registry that does not vote has no proxies, and while voters change one that does may not have them yet.
-    fn reaches_all_proxies(&self, peer: &Hello) -> bool {
+    /// Whether a process is a registry that sends its updates to all proxies itself; anti-entropy repairs lost ones. A registry
+    /// that does not vote has no proxies, and during a change of voters a new voter may not be linked to them yet.
+    fn sends_to_all_proxies(&self, peer: &Hello) -> bool {
         let is_settled = !self.duties.is_joint(self.last_tick);
         peer.role == Role::Registry && is_settled && self.voters.contains(&peer.ip)
     }
 
+    /// A peer has sent the digests of its items: requests a sync of each realm that differs.
     pub(super) fn on_digests(
         &mut self,
         connection: ConnectionId,
@@ -131,12 +135,12 @@
         if is_replica && digests == self.digests() {
             self.last_equal = self.last_tick;
         }
-        // An exchange that is under way goes on by itself.
-        let is_under_way =
+        // An exchange in progress continues without a new request.
+        let is_in_progress =
             self.last_sync.get(&connection).is_some_and(|at| self.last_tick < at + STATUS_INTERVAL / 2);
         for (realm, digest) in (0..).zip(digests) {
             let items = &self.realms[usize::from(realm)];
-            if !is_under_way && digest != items.digest() && !self.is_withheld_from(peer, realm) {
+            if !is_in_progress && digest != items.digest() && !self.is_withheld_from(peer, realm) {
                 out.push(Output::Send(connection, PeerMessage::sync_request(items, realm)));
             }
         }
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Replies to what another replica has sent about its items.
+    /// Answers the anti-entropy message of another replica, unless the realm is withheld from it.
     pub(super) fn send_sync_reply(
         &self,
         connection: ConnectionId,
@@ -164,14 +168,15 @@
         }
     }
 
-    /// Sends the digests of the items here to proxies, unless the configuration is withheld.
+    /// Sends the digests of both realms to proxies, unless the configuration is withheld.
     pub(super) fn send_digests_to_proxies(&self, proxies: Vec<ConnectionId>, out: &mut Vec<Output>) {
         if !self.partial.is_withheld(self.last_tick) {
             out.push(Output::Broadcast(proxies, PeerMessage::Digests(self.digests())));
         }
     }
 
-    /// Checks whether it has all that a store with a complete replica has.
+    /// Marks the configuration here as complete once it equals that of a store with a complete replica, and renews the lease if
+    /// a confirmed digest matches.
     pub(super) fn compare_with_stores(&mut self) {
         let digest = self.config_items().digest();
         let has_equal = self
@@ -179,21 +184,22 @@
             .values()
             .any(|store| store.is_complete == Some(true) && store.config_digest == Some(digest));
         if !self.is_complete && has_equal {
-            log::info!("has the complete configuration: {} items", self.config_items().len());
+            log::info!("configuration is complete: {} items", self.config_items().len());
             self.is_complete = true;
-            // The proxies wait for this.
+            // The proxies wait for this status.
             self.next_status = self.last_tick;
         }
         self.lease.compare(digest);
     }
 
+    /// Starts to withhold the configuration from proxies, unless it is already.
     fn begin_partial_update(&mut self) {
         if self.partial == PartialUpdate::No {
             self.partial = PartialUpdate::Since(self.last_tick);
         }
     }
 
-    /// Tells the proxies once the configuration here is equal to that of a store again.
+    /// Stops withholding the configuration once it equals that of a store, and sends the proxies its digest.
     fn end_partial_update(&mut self, out: &mut Vec<Output>) {
         let digest = self.config_items().digest();
         let has_equal = self.stores.values().any(|store| store.config_digest == Some(digest));
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Whether nothing of a realm is sent to a process.
+    /// Whether a realm is withheld from a process.
     fn is_withheld_from(&self, peer: &Hello, realm: u8) -> bool {
         peer.role == Role::Proxy && realm == CONFIG_REALM && self.partial.is_withheld(self.last_tick)
     }
--- a/crates/registry/src/registry/rollout_duty.rs
+++ b/crates/registry/src/registry/rollout_duty.rs
@@ -1,7 +1,7 @@
-//! Rollouts: orders of operators, and the decisions about those whose duty is here.
+//! Rollouts: accepts the orders of operators, and runs the rollouts whose duty this registry holds.
 //!
-//! Every registry follows the reports of the proxies, so that another one can take a rollout over. Only the one that has the duty
-//! for the service permits requests to the new version and proposes the next stage, on which the stores decide.
+//! Every registry evaluates the reports of the proxies, so that it can take a rollout over. Only the one that holds the duty for
+//! the service permits requests to the new version and proposes the next stage; the stores decide on the proposal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,66 +19,68 @@
 use super::call_forwarding::Caller;
 use super::{Output, Registry};
 
-/// How often it is checked whether it is decided which versions have a service's requests.
+/// The interval of checks for services without a usable baseline: the versions that get a service's requests without a rollout.
 const BASELINE_INTERVAL: Micros = 1_000_000;
-/// A registry that has just started may not have heard of all servers yet.
+/// No baseline is proposed for this long after the start, as some servers may not be known yet.
 const BASELINE_DELAY: Micros = 3_000_000;
-/// A baseline of which no server is left for so long is replaced by the versions that there are.
+/// A baseline is replaced by the present versions once none of its versions has had a server for this long.
 const BASELINE_TIMEOUT: Micros = 5_000_000;
 
-/// A server of the new version, while a rollout is under way.
+/// A server of the target version during a rollout.
 #[derive(Debug, Clone, Copy)]
 struct TargetServer {
-    /// When its slow start ends.
+    /// When its warm-up (slow start) ends.
     warm_at: Micros,
 }
 
-/// A rollout that is under way, as this registry follows it.
+/// The state of a rollout in progress at this registry.
 #[derive(Debug)]
-struct FollowedRollout {
+struct TrackedRollout {
     decider: Decider,
+    /// The revision of the rollout's item.
     revision: u64,
-    surroundings: FleetState,
+    fleet_state: FleetState,
     target_servers: BTreeMap<String, TargetServer>,
 }
 
-/// The rollouts that are under way, by service.
+/// The state of rollouts and baselines.
 #[derive(Debug, Default)]
 pub(super) struct RolloutDuty {
-    followed: BTreeMap<String, FollowedRollout>,
+    /// Rollouts in progress, by service.
+    tracked: BTreeMap<String, TrackedRollout>,
     next_update: Micros,
     next_baselines: Micros,
-    /// Peers that understand items of rollouts.
-    understanding: BTreeSet<ConnectionId>,
-    /// Services that have had an order before it was decided which versions have their requests.
-    ordered: BTreeSet<String>,
-    /// Services of whose versions no server is left, and since when.
-    without_servers: BTreeMap<String, Micros>,
+    /// The connections of peers that support rollout items.
+    rollout_capable_peers: BTreeSet<ConnectionId>,
+    /// Services that got an order before they had a baseline.
+    ordered_services: BTreeSet<String>,
+    /// Services whose baseline versions have no servers, and since when.
+    baselines_without_servers: BTreeMap<String, Micros>,
 }
 
 impl RolloutDuty {
-    /// A peer understands items of rollouts.
-    pub(super) fn peer_understands(&mut self, connection: ConnectionId) {
-        self.understanding.insert(connection);
+    /// A peer has announced that it supports rollout items.
+    pub(super) fn peer_supports_rollouts(&mut self, connection: ConnectionId) {
+        self.rollout_capable_peers.insert(connection);
     }
 
-    /// A connection has gone.
+    /// A connection has closed.
     pub(super) fn disconnected(&mut self, connection: ConnectionId) {
-        self.understanding.remove(&connection);
+        self.rollout_capable_peers.remove(&connection);
     }
 
-    /// A proxy's process has ended: what it confirmed does not hold for the next one.
+    /// A proxy's process has ended: its confirmations are not valid for the next process.
     pub(super) fn proxy_ended(&mut self, node: &str) {
-        self.followed.values_mut().for_each(|followed| followed.decider.proxy_ended(node));
+        self.tracked.values_mut().for_each(|tracked| tracked.decider.proxy_ended(node));
     }
 
-    /// The rollouts that are under way, as metrics.
+    /// The metrics of the rollouts in progress.
     pub(super) fn metrics(&self) -> [Metric; 3] {
-        let evidence = self.followed.values().map(|followed| followed.decider.evidence());
+        let evidence = self.tracked.values().map(|tracked| tracked.decider.evidence());
         let attempts: u64 = evidence.clone().map(|evidence| evidence.target_attempts()).sum();
         let failures: u64 = evidence.map(|evidence| evidence.target_failures()).sum();
         [
-            Metric::new("registry_rollouts_under_way", self.followed.len() as f64),
+            Metric::new("registry_rollouts_under_way", self.tracked.len() as f64),
             Metric::new("registry_rollout_attempts", attempts as f64),
             Metric::new("registry_rollout_failures", failures as f64),
         ]
@@ -86,7 +88,7 @@
 }
 
 impl Registry {
-    /// An operator orders a rollout. A store decides about it.
+    /// Forwards an operator's order of a rollout to a store. If the service has no baseline, proposes one and rejects the order.
     pub(super) fn start_rollout(
         &mut self,
         now: Micros,
@@ -96,21 +98,22 @@
     ) {
         let is_service = self.table.services.contains_key(&order.service);
         if is_service && !self.table.rollouts.contains_key(&order.service) {
-            self.rollout_duty.ordered.insert(order.service.clone());
+            self.rollout_duty.ordered_services.insert(order.service.clone());
             self.set_baselines(now, out);
             let reply = CallReply::error(503, "it is not decided which versions have the service's requests");
             return out.push(Output::Answer(call, reply));
         }
         let ordered_at_ms = self.time_of_day_ms(now);
         let change = RolloutChange::Start { order, ordered_at_ms };
-        self.forward(now, Caller::Outside(call), ForwardedCall::ChangeRollout(change), out);
+        self.forward(now, Caller::External(call), ForwardedCall::ChangeRollout(change), out);
     }
 
+    /// The Unix time, in milliseconds.
     fn time_of_day_ms(&self, now: Micros) -> u64 {
         self.config.time_of_day * 1_000 + now / 1_000
     }
 
-    /// The servers that are there, with their services and versions.
+    /// The ready and draining servers, by id.
     fn servers(&self) -> impl Iterator<Item = (&str, Server)> {
         let servers = self.runtime_items().live(Kind::Server);
         let decoded = servers.filter_map(|(id, value)| Some((id, Server::decode(value)?)));
@@ -121,11 +124,11 @@
         self.duties.holds(now, slice_of(service))
     }
 
-    /// Time has passed.
+    /// Runs the rollout work that is due by now.
     pub(super) fn update_rollouts(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now >= self.rollout_duty.next_update {
             self.rollout_duty.next_update = now + REPORT_INTERVAL;
-            self.follow_rollouts(now);
+            self.track_rollouts(now);
         }
         for (service, revision, stage) in self.next_stages(now) {
             self.propose_stage(now, service, revision, stage, out);
@@ -136,43 +139,45 @@
         }
     }
 
-    /// Follows the rollouts that are under way, and what is around them.
-    fn follow_rollouts(&mut self, now: Micros) {
+    /// Updates the state of the rollouts in progress, and drops that of ended ones.
+    fn track_rollouts(&mut self, now: Micros) {
         let under_way = self.table.rollouts.iter().filter(|(_, item)| item.rollout.stage.is_under_way());
         let under_way: Vec<(String, RolloutInForce)> =
             under_way.map(|(service, item)| (service.clone(), (**item).clone())).collect();
         let is_under_way = |service: &String| under_way.iter().any(|(other, _)| other == service);
-        self.rollout_duty.followed.retain(|service, _| is_under_way(service));
+        self.rollout_duty.tracked.retain(|service, _| is_under_way(service));
         for (service, item) in under_way {
-            self.follow(now, &service, &item.rollout);
-            let surroundings = self.surroundings(now, &service, &item.rollout);
-            let Some(followed) = self.rollout_duty.followed.get_mut(&service) else { continue };
-            followed.surroundings = surroundings;
-            if std::mem::replace(&mut followed.revision, item.revision) != item.revision {
-                followed.decider.stage_changed();
+            self.track(now, &service, &item.rollout);
+            let fleet_state = self.fleet_state(now, &service, &item.rollout);
+            let Some(tracked) = self.rollout_duty.tracked.get_mut(&service) else { continue };
+            tracked.fleet_state = fleet_state;
+            if std::mem::replace(&mut tracked.revision, item.revision) != item.revision {
+                tracked.decider.stage_changed();
                 let RolloutInForce { rollout: Rollout { target, stage, .. }, .. } = &item;
                 log::info!("rollout of {service} to {target}: {stage:?}");
             }
         }
     }
 
-    fn follow(&mut self, now: Micros, service: &str, rollout: &Rollout) -> &mut FollowedRollout {
+    /// The state of a rollout; starts anew if the order is not the one tracked so far.
+    fn track(&mut self, now: Micros, service: &str, rollout: &Rollout) -> &mut TrackedRollout {
         let time_of_day_ms = self.time_of_day_ms(now);
         let bounds = self.config.rollouts.bounds;
-        let new = || FollowedRollout {
+        let new = || TrackedRollout {
             decider: Decider::new(now, time_of_day_ms, bounds, rollout),
             revision: 0,
-            surroundings: FleetState::default(),
+            fleet_state: FleetState::default(),
             target_servers: BTreeMap::new(),
         };
-        let followed = self.rollout_duty.followed.entry(service.into()).or_insert_with(new);
-        if followed.decider.order() != rollout.order {
-            *followed = new();
+        let tracked = self.rollout_duty.tracked.entry(service.into()).or_insert_with(new);
+        if tracked.decider.order() != rollout.order {
+            *tracked = new();
         }
-        followed
+        tracked
     }
 
-    fn surroundings(&mut self, now: Micros, service: &str, rollout: &Rollout) -> FleetState {
+    /// The servers and proxies that a rollout's decisions depend on.
+    fn fleet_state(&mut self, now: Micros, service: &str, rollout: &Rollout) -> FleetState {
         let ready = self.servers().filter(|(_, server)| server.service == service);
         let ready: Vec<(String, Server)> = ready
             .filter(|(_, server)| server.state == ServerState::Ready)
@@ -180,42 +185,42 @@
             .collect();
         let linked = self.peers.values().filter(|hello| hello.role == Role::Proxy);
         let linked_proxies = linked.map(|hello| (hello.node.clone(), hello.process_id)).collect();
-        let mut surroundings = FleetState {
+        let mut fleet_state = FleetState {
             linked_proxies,
             missing_proxies: self.proxies.missing.clone(),
             total_proxies: self.total_proxies(),
             ..FleetState::default()
         };
-        let Some(followed) = self.rollout_duty.followed.get_mut(service) else { return surroundings };
-        followed.target_servers.retain(|id, _| ready.iter().any(|(other, _)| other == id));
+        let Some(tracked) = self.rollout_duty.tracked.get_mut(service) else { return fleet_state };
+        tracked.target_servers.retain(|id, _| ready.iter().any(|(other, _)| other == id));
         for (id, server) in ready {
             if server.revision != rollout.target {
-                surroundings.stable_servers += usize::from(rollout.stable.contains(&server.revision));
+                fleet_state.stable_servers += usize::from(rollout.stable.contains(&server.revision));
                 continue;
             }
             let warm_at = now + u64::from(server.warmup_ms) * 1_000;
-            let target = followed.target_servers.entry(id).or_insert(TargetServer { warm_at });
-            surroundings.target_servers += 1;
-            surroundings.warm_target_servers += usize::from(now >= target.warm_at);
+            let target = tracked.target_servers.entry(id).or_insert(TargetServer { warm_at });
+            fleet_state.target_servers += 1;
+            fleet_state.warm_target_servers += usize::from(now >= target.warm_at);
         }
-        surroundings
+        fleet_state
     }
 
-    /// The stages that rollouts should go on to whose duty is here.
+    /// The rollouts due for another stage whose duty this registry holds: service, revision and new stage.
     fn next_stages(&mut self, now: Micros) -> Vec<(String, u64, Stage)> {
         let mut next = Vec::new();
-        for (service, followed) in &mut self.rollout_duty.followed {
+        for (service, tracked) in &mut self.rollout_duty.tracked {
             let Some(item) = self.table.rollouts.get(service) else { continue };
-            let stage = followed.decider.tick(now, item, &followed.surroundings);
+            let stage = tracked.decider.tick(now, item, &tracked.fleet_state);
             let has_duty = self.duties.holds(now, slice_of(service));
-            if let Some(stage) = stage.filter(|_| has_duty && item.rollout.order == followed.decider.order())
-            {
+            if let Some(stage) = stage.filter(|_| has_duty && item.rollout.order == tracked.decider.order()) {
                 next.push((service.clone(), item.revision, stage));
             }
         }
         next
     }
 
+    /// Proposes a stage to the stores.
     fn propose_stage(
         &mut self,
         now: Micros,
@@ -224,8 +229,8 @@
         stage: Stage,
         out: &mut Vec<Output>,
     ) {
-        if let Some(followed) = self.rollout_duty.followed.get(&service) {
-            let (verdict, evidence) = (followed.decider.verdict(), followed.decider.evidence());
+        if let Some(tracked) = self.rollout_duty.tracked.get(&service) {
+            let (verdict, evidence) = (tracked.decider.verdict(), tracked.decider.evidence());
             let (attempts, failures) = (evidence.target_attempts(), evidence.target_failures());
             log::info!(
                 "proposes {stage:?} for {service}: {verdict:?}, {failures} of {attempts} attempts failed"
@@ -235,12 +240,16 @@
         self.forward(now, Caller::Registry, ForwardedCall::ChangeRollout(change), out);
     }
 
-    /// Has the versions decided that have the requests of services for which nothing is decided yet, so that a version which comes
-    /// later gets nothing without an order.
+    /// Proposes baselines for services that need one, so that a version that appears later gets no requests without a rollout.
     fn set_baselines(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let is_wanted = self.config.rollouts.are_guaranteed || !self.rollout_duty.ordered.is_empty();
-        let has_heard_all = self.is_complete && now >= self.started_at + BASELINE_DELAY;
-        if !is_wanted || !has_heard_all || !self.is_in_contact(now) || !self.all_understand_rollouts() {
+        let is_needed =
+            self.config.rollouts.baseline_without_order || !self.rollout_duty.ordered_services.is_empty();
+        let servers_are_known = self.is_complete && now >= self.started_at + BASELINE_DELAY;
+        if !is_needed
+            || !servers_are_known
+            || !self.presumes_majority(now)
+            || !self.all_peers_support_rollouts()
+        {
             return;
         }
         let mut versions: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
@@ -254,25 +263,26 @@
         }
     }
 
-    /// Whether all peers understand items of rollouts: while machines are updated one by one, some may not.
-    fn all_understand_rollouts(&self) -> bool {
+    /// Whether all peers support rollout items: while machines are upgraded one by one, some may not.
+    fn all_peers_support_rollouts(&self) -> bool {
         let mut peers = self.peers.iter().filter(|(_, hello)| hello.role != Role::Observer);
-        peers.all(|(connection, _)| self.rollout_duty.understanding.contains(connection))
+        peers.all(|(connection, _)| self.rollout_duty.rollout_capable_peers.contains(connection))
     }
 
-    /// The services with servers whose duty is here, and of whose decided versions no server has been left for a while.
+    /// The services with servers that have no baseline, or one whose versions have had no servers for [`BASELINE_TIMEOUT`].
+    /// Limited to services that got an order and, with `baseline_without_order`, those whose duty this registry holds.
     fn services_without_baseline(
         &mut self,
         now: Micros,
         versions: &BTreeMap<String, BTreeSet<String>>,
     ) -> Vec<String> {
-        let is_wanted = |service: &String| {
-            let has_order = self.rollout_duty.ordered.contains(service);
-            has_order || self.config.rollouts.are_guaranteed && self.has_rollout_duty(now, service)
+        let is_needed = |service: &String| {
+            let has_order = self.rollout_duty.ordered_services.contains(service);
+            has_order || self.config.rollouts.baseline_without_order && self.has_rollout_duty(now, service)
         };
-        let is_due = |service: &&String| self.table.services.contains_key(*service) && is_wanted(service);
+        let is_due = |service: &&String| self.table.services.contains_key(*service) && is_needed(service);
         let mut due = Vec::new();
-        let mut without_servers = BTreeMap::new();
+        let mut baselines_without_servers = BTreeMap::new();
         for service in versions.keys().filter(is_due) {
             let Some(item) = self.table.rollouts.get(service) else {
                 due.push(service.clone());
@@ -284,17 +294,18 @@
             {
                 continue;
             }
-            let since = self.rollout_duty.without_servers.get(service).copied().unwrap_or(now);
-            without_servers.insert(service.clone(), since);
+            let since = self.rollout_duty.baselines_without_servers.get(service).copied().unwrap_or(now);
+            baselines_without_servers.insert(service.clone(), since);
             if now >= since + BASELINE_TIMEOUT {
                 due.push(service.clone());
             }
         }
-        self.rollout_duty.without_servers = without_servers;
+        self.rollout_duty.baselines_without_servers = baselines_without_servers;
         due
     }
 
-    /// A proxy has reported what it has seen. If the duty is here, it is permitted to send a part of its requests to new versions.
+    /// Handles the rollout reports of a proxy. For rollouts whose duty this registry holds, the answer permits the proxy to send
+    /// a share of its requests to the target version.
     pub(super) fn on_rollout_reports(
         &mut self,
         now: Micros,
@@ -310,6 +321,7 @@
         }
     }
 
+    /// Records a report, and returns a permit if this registry holds the duty and is current.
     fn on_rollout_report(
         &mut self,
         now: Micros,
@@ -319,14 +331,14 @@
         let item = self.table.rollouts.get(&report.service)?.clone();
         let has_duty = self.has_rollout_duty(now, &report.service);
         let is_current = self.is_current(now);
-        let followed = self.rollout_duty.followed.get_mut(&report.service)?;
-        if followed.decider.order() != report.order || item.rollout.order != report.order {
+        let tracked = self.rollout_duty.tracked.get_mut(&report.service)?;
+        if tracked.decider.order() != report.order || item.rollout.order != report.order {
             return None;
         }
-        followed.decider.report(now, &peer.node, peer.process_id, report);
+        tracked.decider.report(now, &peer.node, peer.process_id, report);
         if !has_duty || !is_current {
             return None;
         }
-        followed.decider.permit(now, &item.rollout, &followed.surroundings, report)
+        tracked.decider.permit(now, &item.rollout, &tracked.fleet_state, report)
     }
 }
--- a/crates/registry/src/registry/status.rs
+++ b/crates/registry/src/registry/status.rs
@@ -1,4 +1,4 @@
-//! What a registry reports of itself: its status, its metrics, and what it sends at each interval.
+//! The status and metrics of a registry, and the messages that it sends periodically.
 
 use pinerelay_admission::Micros;
 use pinerelay_config_state::server::{Server, ServerState};
@@ -7,27 +7,31 @@
 
 use super::{Output, Registry};
 
-/// What a registry counts.
+/// The event counters of a registry.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Counters {
+    /// All heartbeats of servers.
     pub heartbeats: u64,
-    /// Heartbeats that were not acknowledged, as no majority was reached.
+    /// Calls of servers that were answered with 503, as no majority was reached.
     pub heartbeats_rejected: u64,
-    /// Gaps between two ticks in which calls and updates waited.
+    /// Gaps between two ticks longer than [`super::CALL_STALL_THRESHOLD`].
     pub stalls: u64,
-    /// Lease requests of proxies, for one tenant each.
+    /// Lease requests of proxies, counted per tenant.
     pub lease_requests: u64,
-    /// Those of them for which the duty is not here.
+    /// Lease requests for tenants whose duty is held elsewhere.
     pub lease_requests_misdirected: u64,
+    /// Quota units granted in leases.
     pub units_leased: u64,
-    /// Lease requests for which no unit was left.
+    /// Lease requests that got no units as the quota was exhausted.
     pub leases_exhausted: u64,
-    /// Deregistrations that no other registry has held.
+    /// Deregistrations that no other registry acknowledged.
     pub deregistrations_rejected: u64,
+    /// Servers that this registry has marked as lost.
     pub servers_lost: u64,
 }
 
 impl Registry {
+    /// The status that is sent to registries and proxies.
     pub(super) fn status(&self, now: Micros) -> RegistryStatus {
         let mut registries: Vec<String> = self.registry_connections().into_keys().collect();
         registries.push(self.config.hello.ip.clone());
@@ -44,7 +48,7 @@
         }
     }
 
-    /// Sends what is due at each status interval.
+    /// Sends the messages that are due at each [`super::STATUS_INTERVAL`].
     pub(super) fn send_periodic(&mut self, now: Micros, out: &mut Vec<Output>) {
         let proxies = self.connections_of(Role::Proxy);
         let registries: Vec<_> = self.registry_connections().into_values().collect();
@@ -52,13 +56,13 @@
         out.push(Output::Broadcast(all, PeerMessage::RegistryStatus(self.status(now))));
         out.push(Output::Broadcast(registries.clone(), PeerMessage::Digests(self.digests())));
         self.send_digests_to_proxies(proxies, out);
-        // Two registries that connect to each other have two links, and each may send its messages on another one. A link on
-        // which an end hears nothing is closed there.
+        // Two registries that connect to each other have two links, and each may choose a different one to send on. An end closes
+        // a link on which it receives nothing.
         let mut unused = self.connections_of(Role::Registry);
         unused.retain(|connection| !registries.contains(connection));
         out.push(Output::Broadcast(unused, PeerMessage::KeepAlive));
-        self.forget_expired_servers(now);
-        self.send_proxy_places(out);
+        self.remove_expired_tombstones(now);
+        self.send_proxy_positions(out);
         self.release_reserved_shares(now);
         let stores = self.connections_of(Role::ConfigStore);
         out.push(Output::Broadcast(stores, PeerMessage::ConfirmCurrent(now)));
@@ -68,18 +72,21 @@
         out.push(Output::Broadcast(own_store, PeerMessage::Digests(self.digests())));
     }
 
-    fn forget_expired_servers(&mut self, now: Micros) {
+    /// Removes the expired tombstones of servers.
+    fn remove_expired_tombstones(&mut self, now: Micros) {
         let time_of_day = self.time_of_day(now);
         self.runtime_items_mut().remove_if(|item| Server::is_expired_tombstone(item, time_of_day));
         let [_, items] = &self.realms;
         self.endpoints.retain_replicated(|id| items.get(&Key::new(Kind::Server, id)).is_some());
     }
 
+    /// The number of servers in a state.
     fn servers_in_state(&self, state: ServerState) -> f64 {
         let servers = self.runtime_items().live(Kind::Server).filter_map(|(_, value)| Server::decode(value));
         servers.filter(|server| server.state == state).count() as f64
     }
 
+    /// The metrics of the state machine.
     pub(super) fn metrics(&self, now: Micros) -> Vec<Metric> {
         let seconds = |duration: Micros| duration as f64 / 1e6;
         let Counters { heartbeats, heartbeats_rejected, units_leased, leases_exhausted, .. } = self.counters;
@@ -96,7 +103,7 @@
             Metric::flag("registry_majority", self.majority.is_reached()),
             Metric::flag("registry_complete", self.is_complete),
             Metric::flag("registry_current", self.is_current(now)),
-            Metric::new("registry_not_current_seconds", seconds(self.lease.ended_for(now))),
+            Metric::new("registry_not_current_seconds", seconds(self.lease.time_since_expiry(now))),
             Metric::new("registry_epoch", self.duties.epoch() as f64),
             Metric::new("registry_heartbeats_rejected_total", heartbeats_rejected as f64),
             Metric::new("registry_deregistrations_pending", pending as f64),
--- a/crates/registry/src/run.rs
+++ b/crates/registry/src/run.rs
@@ -1,4 +1,4 @@
-//! The running registry: its state machine joined to links and to the calls from outside.
+//! Runs the registry: connects its state machine to peer links and to the HTTP listener for control calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -41,34 +41,35 @@
 use crate::control_call::{self, ControlCall};
 use crate::registry::{Output, Registry, RegistryConfig, RolloutSettings};
 
-/// The interval of ticks.
-const TICK: Duration = Duration::from_millis(100);
-/// How long a head may take.
+/// The interval between ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The time limit for the head of an HTTP request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a caller's connection may be idle.
+/// A caller's connection is closed after being idle for this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Connections that may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// At a planned shutdown calls under way have so long to end.
+/// The time for calls in progress to finish at a planned shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often it is checked whether they have.
-const SHUTDOWN_CHECK: Duration = Duration::from_millis(20);
-/// Callers get one descriptor in so many; the rest is for links and files.
+/// The interval at which the shutdown checks whether they have finished.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// One part in this many of the file descriptors is reserved, for links and files.
 const RESERVED_DESCRIPTORS_DIVISOR: usize = 3;
-/// The part of the callers' descriptors that is used.
-const DESCRIPTOR_USE: f64 = 0.9;
+/// The share of the other descriptors that callers' connections may use.
+const CALLER_DESCRIPTOR_SHARE: f64 = 0.9;
 
-/// The guarantee of the settings that is about rollouts.
+/// The name of the guarantee in the settings that baselines are set without an order.
 const ROLLOUT_GUARANTEE: &str = "rollout";
 
-/// The registry with what it is joined to.
+/// The state machine with its I/O.
 struct RunningRegistry {
     registry: RefCell<Registry>,
     links: Rc<Links>,
     body_memory: Rc<BodyMemory>,
     settings: Settings,
-    /// The calls that wait for their answer.
-    calls: RefCell<BTreeMap<u64, oneshot::Sender<CallReply>>>,
+    /// The calls that wait for an answer, by number.
+    pending_calls: RefCell<BTreeMap<u64, oneshot::Sender<CallReply>>>,
+    /// The number of the last call.
     last_call: Cell<u64>,
     call_counts: RefCell<CallCounts>,
     started: Instant,
@@ -76,7 +77,7 @@
     this: Weak<RunningRegistry>,
 }
 
-/// Runs a registry until SIGTERM. Calls under way are answered first, for at most 0.8 s.
+/// Runs a registry until SIGTERM, and then for up to 0.8 s while calls in progress are answered.
 ///
 /// # Errors
 /// If an address or the limit of descriptors cannot be used.
@@ -89,7 +90,7 @@
     let running = RunningRegistry::new(links, settings);
     let reserved = descriptors / RESERVED_DESCRIPTORS_DIVISOR;
     let common = Common {
-        budget: Budget::new(descriptors, reserved, DESCRIPTOR_USE),
+        budget: Budget::new(descriptors, reserved, CALLER_DESCRIPTOR_SHARE),
         room: Room::of(running.settings.limits.memory_mb),
         vigil: Vigil::new(),
     };
@@ -97,25 +98,26 @@
     let gate = Rc::new(Gate::default());
     tokio::task::spawn_local(front.clone().accept(listen(control.into(), BACKLOG)?, gate.clone(), false));
     gate.open();
-    log::info!("takes calls at {control}");
+    log::info!("listening for control calls on {control}");
     tokio::task::spawn_local(settings_watch::watch(path, |_| log::info!("the settings file has changed")));
     let mut events = running.event_loop(events).await?;
-    log::info!("shuts down as planned");
+    log::info!("planned shutdown");
     running.is_shutting_down.set(true);
     running.with_registry(|registry, now, out| registry.shut_down(now, out));
     gate.shut();
     front.close_idle();
-    let by = Instant::now() + SHUTDOWN_TIMEOUT;
-    while Instant::now() < by && (!running.calls.borrow().is_empty() || front.connections() > 0) {
+    let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+    while Instant::now() < deadline && (!running.pending_calls.borrow().is_empty() || front.connections() > 0)
+    {
         tokio::select! {
             Some(event) = events.recv() => running.on_event(event),
-            () = sleep(SHUTDOWN_CHECK) => {}
+            () = sleep(SHUTDOWN_CHECK_INTERVAL) => {}
         }
     }
     Ok(())
 }
 
-/// What the state machine is told at its start.
+/// The configuration of the state machine.
 fn registry_config(settings: &Settings) -> RegistryConfig {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let process_id = hash::hash_parts(&[settings.node.as_bytes(), &now.as_nanos().to_le_bytes()]);
@@ -136,7 +138,7 @@
             margin: bounds.quota_margin,
         },
         rollouts: RolloutSettings {
-            are_guaranteed: settings.guarantees.iter().any(|name| name == ROLLOUT_GUARANTEE),
+            baseline_without_order: settings.guarantees.iter().any(|name| name == ROLLOUT_GUARANTEE),
             bounds: RolloutBounds {
                 exposure_share: bounds.exposure_share,
                 exposure_margin: bounds.exposure_margin,
@@ -154,7 +156,7 @@
             links,
             body_memory: BodyMemory::of_process(settings.limits.memory_mb),
             settings,
-            calls: RefCell::default(),
+            pending_calls: RefCell::default(),
             last_call: Cell::new(0),
             call_counts: RefCell::default(),
             started: Instant::now(),
@@ -163,7 +165,7 @@
         })
     }
 
-    /// Handles events until SIGTERM.
+    /// Handles events until SIGTERM, and returns the receiver of events for the shutdown.
     async fn event_loop(&self, mut events: LinkEvents) -> io::Result<LinkEvents> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut links: BTreeMap<(String, Role), LinkHandle> = BTreeMap::new();
@@ -174,7 +176,7 @@
                 _ = terminate.recv() => return Ok(events),
                 Some(event) = events.recv() => self.on_event(event),
                 () = sleep_until(next_tick) => {
-                    next_tick = Instant::now() + TICK;
+                    next_tick = Instant::now() + TICK_INTERVAL;
                     self.with_registry(|registry, now, out| registry.tick(now, out));
                     self.update_links(&mut links);
                 }
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Keeps links to the processes that it has to reach.
+    /// Opens missing links to the processes that the state machine wants to reach, and closes the others.
     fn update_links(&self, links: &mut BTreeMap<(String, Role), LinkHandle>) {
         let wanted = self.registry.borrow().wanted_links();
         links.retain(|link, _| wanted.contains(link));
@@ -197,6 +199,7 @@
         }
     }
 
+    /// Passes a link event to the state machine.
     fn on_event(&self, event: LinkEvent) {
         self.with_registry(|registry, now, out| match event {
             LinkEvent::Connected(connection, _) => registry.connected(connection, out),
@@ -205,10 +208,11 @@
         });
     }
 
-    fn with_registry(&self, act: impl FnOnce(&mut Registry, Micros, &mut Vec<Output>)) {
+    /// Calls the state machine with the current time, and carries out its outputs.
+    fn with_registry(&self, operation: impl FnOnce(&mut Registry, Micros, &mut Vec<Output>)) {
         let mut outputs = Vec::new();
         let now = self.started.elapsed().as_micros() as Micros;
-        act(&mut self.registry.borrow_mut(), now, &mut outputs);
+        operation(&mut self.registry.borrow_mut(), now, &mut outputs);
         for output in outputs {
             match output {
                 Output::Send(connection, PeerMessage::Metrics(metrics)) => {
@@ -218,8 +222,8 @@
                 Output::Broadcast(connections, message) => self.links.send_all(connections, &message),
                 Output::Close(connection) => self.links.close(connection),
                 Output::Answer(call, reply) => {
-                    if let Some(caller) = self.calls.borrow_mut().remove(&call) {
-                        // A caller that has gone does not wait.
+                    if let Some(caller) = self.pending_calls.borrow_mut().remove(&call) {
+                        // Sending fails if the caller has disconnected.
                         let _ = caller.send(reply);
                     }
                 }
@@ -227,47 +231,49 @@
         }
     }
 
-    /// Adds the metrics of the process to those of the state machine.
+    /// Appends the metrics of calls and links to those of the state machine.
     fn all_metrics(&self, mut metrics: Vec<Metric>) -> Vec<Metric> {
         let zone = &self.settings.zone;
         metrics.push(Metric::new(format!("registry_info{{zone=\"{zone}\"}}"), 1.0));
-        metrics.push(Metric::new("registry_open_calls", self.calls.borrow().len() as f64));
+        metrics.push(Metric::new("registry_open_calls", self.pending_calls.borrow().len() as f64));
         metrics.extend(self.call_counts.borrow().metrics());
         metrics.extend(self.links.metrics(Role::Registry.name()));
         metrics
     }
 
+    /// Reads, parses and executes a request.
     async fn answer_request(&self, request: Request<Incoming>) -> CallReply {
         if self.is_shutting_down.get() {
             return CallReply::error(503, "the registry ends");
         }
         let (head, body) = request.into_parts();
-        // The body's memory counts as taken until the call is answered.
+        // The body's memory stays reserved until the call is answered.
         let (body, _permit) = match self.body_memory.read(body).await {
             Ok(read) => read,
             Err(error) => return CallReply::error(status_of(&error), &error.to_string()),
         };
         match control_call::parse(head.method.as_str(), head.uri.path(), head.uri.query(), &body) {
-            Ok(call) => self.carry_out(call).await,
+            Ok(call) => self.execute(call).await,
             Err(error) => {
-                self.call_counts.borrow_mut().note_error(&error);
+                self.call_counts.borrow_mut().log_unknown_call(&error);
                 CallReply::error(error.status(), &error.to_string())
             }
         }
     }
 
-    /// Carries out a call. Cancelling it, when the caller has gone, forgets its answer.
-    async fn carry_out(&self, call: ControlCall) -> CallReply {
+    /// Executes a call. If this is cancelled, as the caller has disconnected, the answer is discarded.
+    async fn execute(&self, call: ControlCall) -> CallReply {
         let number = self.last_call.get() + 1;
         self.last_call.set(number);
         let (answer, answered) = oneshot::channel();
-        self.calls.borrow_mut().insert(number, answer);
+        self.pending_calls.borrow_mut().insert(number, answer);
         self.with_registry(|registry, now, out| registry.call(now, number, call, out));
         let _guard = CallGuard { registry: self.this.clone(), number };
         answered.await.unwrap_or_else(|_| CallReply::error(503, "the registry ends"))
     }
 }
 
+/// The HTTP status for a body that was not read.
 fn status_of<E>(error: &BodyError<E>) -> u16 {
     match error {
         BodyError::TooLong => 413,
@@ -277,7 +283,7 @@
     }
 }
 
-/// Removes a call once its caller does not wait any more.
+/// Removes a waiting call on drop, also if it is cancelled.
 struct CallGuard {
     registry: Weak<RunningRegistry>,
     number: u64,
@@ -286,7 +292,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if let Some(registry) = self.registry.upgrade() {
-            registry.calls.borrow_mut().remove(&self.number);
+            registry.pending_calls.borrow_mut().remove(&self.number);
         }
     }
 }
--- a/crates/registry/tests/rollout_calls.rs
+++ b/crates/registry/tests/rollout_calls.rs
@@ -54,7 +54,7 @@
             quota_bounds: bounds,
             seeds: vec![OWN.into()],
             time_of_day: 1_700_000_000,
-            rollouts: RolloutSettings { are_guaranteed: true, ..RolloutSettings::default() },
+            rollouts: RolloutSettings { baseline_without_order: true, ..RolloutSettings::default() },
         };
         let mut committed = ItemSet::default();
         committed.merge_all(operator_call::parse_update(SERVICE.as_bytes()).expect("a call"));
