--- a/crates/registry/tests/process_list.rs
+++ b/crates/registry/tests/process_list.rs
@@ -1,4 +1,4 @@
-//! A registry tells who looks on which processes it knows of, and is not changed by that.
+//! The process list that an observer requests. Observers are not listed, and their connections change nothing.
 
 use std::time::Duration;
 
@@ -29,25 +29,26 @@
     )
 }
 
-fn sent(registry: &mut Registry, peer: u64, message: PeerMessage) -> Vec<Output> {
+fn receive_from(registry: &mut Registry, connection: u64, message: PeerMessage) -> Vec<Output> {
     let mut out = Vec::new();
-    registry.receive(1, peer, message, &mut out);
+    registry.receive(1, connection, message, &mut out);
     out
 }
 
 #[gtest]
-fn the_roll_names_what_is_linked_and_what_is_missed_and_nobody_who_looks_on() {
+fn the_process_list_names_linked_and_missing_processes_but_no_observers() {
     let mut registry = registry();
-    for (peer, node) in [(1, "edge-1"), (2, "edge-22"), (3, "edge-333")] {
-        sent(&mut registry, peer, PeerMessage::Hello(hello(node, Role::Proxy)));
+    for (connection, node) in [(1, "edge-1"), (2, "edge-22"), (3, "edge-333")] {
+        receive_from(&mut registry, connection, PeerMessage::Hello(hello(node, Role::Proxy)));
     }
-    // The second ends as planned, the third is gone without a word.
-    sent(&mut registry, 2, PeerMessage::Goodbye);
-    [2, 3].into_iter().for_each(|peer| registry.disconnected(1, peer, &mut Vec::new()));
-    // One that looks on from the machine of a proxy that is missed is not that proxy.
-    let met = sent(&mut registry, 9, PeerMessage::Hello(hello("edge-333", Role::Observer)));
-    expect_that!(met, is_empty());
-    let reported = sent(&mut registry, 9, PeerMessage::ProcessListRequest);
+    // The second proxy shuts down as planned; the link to the third breaks without a goodbye.
+    receive_from(&mut registry, 2, PeerMessage::Goodbye);
+    [2, 3].into_iter().for_each(|connection| registry.disconnected(1, connection, &mut Vec::new()));
+    // An observer on the node of a missing proxy must not be taken for that proxy.
+    let on_observer_hello =
+        receive_from(&mut registry, 9, PeerMessage::Hello(hello("edge-333", Role::Observer)));
+    expect_that!(on_observer_hello, is_empty());
+    let reported = receive_from(&mut registry, 9, PeerMessage::ProcessListRequest);
     let [Output::Send(9, PeerMessage::ProcessList(list))] = &reported[..] else { panic!("{reported:?}") };
     let linked: Vec<&str> = list.linked.iter().map(|hello| hello.node.as_str()).collect();
     expect_that!(linked, unordered_elements_are![eq(&"core"), eq(&"edge-1")]);
--- a/crates/registry/tests/published_calls.rs
+++ b/crates/registry/tests/published_calls.rs
@@ -1,9 +1,10 @@
-//! Each call that the operators' pages publish is served. Two were not, and nothing here looked.
+//! Guards against control calls that are documented but not served: two published calls were unknown to the registry, and no
+//! test noticed.
 
 use googletest::prelude::*;
 use pinerelay_registry::control_call::{self, CallError};
 
-/// The calls with the bodies of the pages' examples.
+/// The query and body of each published call, as in the documentation's examples.
 const PUBLISHED: [(&str, &str); 6] = [
     (
         "call=servers.heartbeat&of=i-7f3a91c2",
@@ -26,12 +27,12 @@
         let parsed = control_call::parse("POST", control_call::PATH, Some(query), body.as_bytes());
         expect_that!(parsed, ok(anything()), "{query}");
     }
-    let other = control_call::parse("POST", control_call::PATH, Some("call=rollouts.stop"), b"");
-    expect_that!(other, err(eq(&CallError::UnknownCall("rollouts.stop".into()))));
+    let unpublished = control_call::parse("POST", control_call::PATH, Some("call=rollouts.stop"), b"");
+    expect_that!(unpublished, err(eq(&CallError::UnknownCall("rollouts.stop".into()))));
 }
 
 #[gtest]
-fn each_published_call_has_a_row_among_the_contracts() {
+fn each_published_call_is_listed_in_the_contracts() {
     let contracts = include_str!("../../../docs/contracts.md");
     for (query, _) in PUBLISHED {
         let name = query.trim_start_matches("call=").split('&').next().unwrap_or_default();
--- a/crates/registry/tests/reach.rs
+++ b/crates/registry/tests/reach.rs
@@ -1,4 +1,5 @@
-//! Registries that do not vote reach each other, too: each hears a part of the servers.
+//! Links between registries. Registries that do not vote have to be linked, too, as each receives the heartbeats of a part of the
+//! servers.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -13,7 +14,7 @@
 }
 
 #[gtest]
-fn a_registry_reaches_those_that_others_reach_as_long_as_they_say_so() {
+fn a_registry_connects_to_those_that_linked_registries_report() {
     let seeds: Vec<String> = (1..=3).map(|n| hello(n).ip).collect();
     let config = RegistryConfig {
         hello: hello(4),
@@ -30,7 +31,7 @@
     let voters = seeds.clone();
     let mut registries = seeds.clone();
     registries.extend(["10.0.0.4".to_string(), "10.0.0.5".into()]);
-    let current = RegistryStatus {
+    let status = RegistryStatus {
         registries,
         voters,
         epoch: 1,
@@ -40,26 +41,26 @@
         is_complete: true,
         is_current: true,
     };
-    registry.receive(2, 7, PeerMessage::RegistryStatus(current), &mut out);
+    registry.receive(2, 7, PeerMessage::RegistryStatus(status), &mut out);
     let mut all: BTreeSet<String> = seeds.into_iter().collect();
     all.insert("10.0.0.5".into());
-    expect_that!(registry.other_registries(), eq(&all), "itself left out");
-    // Who is gone is named by nobody by and by.
+    expect_that!(registry.other_registries(), eq(&all), "a registry does not connect to itself");
+    // Once no linked registry reports an address, it is forgotten.
     registry.disconnected(3, 7, &mut out);
     all.remove("10.0.0.5");
     expect_that!(registry.other_registries(), eq(&all));
 }
 
-/// Two registries that have reached for each other: two links, which came up in another order at each end.
-struct Pair {
+/// Two registries that have connected to each other: two links, which the two ends number in opposite order.
+struct RegistryPair {
     ends: [Registry; 2],
-    said: VecDeque<(usize, ConnectionId, PeerMessage)>,
-    /// When each end last heard something on each link.
-    heard: [[u64; 2]; 2],
+    in_flight: VecDeque<(usize, ConnectionId, PeerMessage)>,
+    /// When each end last received a message on each link.
+    last_received: [[u64; 2]; 2],
 }
 
-impl Pair {
-    fn new() -> Pair {
+impl RegistryPair {
+    fn new() -> RegistryPair {
         let seeds: Vec<String> = (1..=2).map(|n| hello(n).ip).collect();
         let registry = |n| {
             let config = RegistryConfig {
@@ -73,54 +74,61 @@
             };
             Registry::new(0, config)
         };
-        Pair { ends: [registry(1), registry(2)], said: VecDeque::new(), heard: Default::default() }
+        RegistryPair {
+            ends: [registry(1), registry(2)],
+            in_flight: VecDeque::new(),
+            last_received: Default::default(),
+        }
     }
 
-    /// The link that an end calls so. The first end calls them 1 and 2, the other one 2 and 1.
-    fn link(end: usize, peer: ConnectionId) -> usize {
+    /// The index of the link for a connection id of an end. The first end has ids 1 and 2 for the links, the other one 2 and 1.
+    fn link(end: usize, connection: ConnectionId) -> usize {
         if end == 0 {
-            peer as usize - 1
+            connection as usize - 1
         } else {
-            2 - peer as usize
+            2 - connection as usize
         }
     }
 
-    fn take(&mut self, end: usize, out: Vec<Output>) {
+    fn enqueue(&mut self, end: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Send(peer, message) => self.said.push_back((end, peer, message)),
-                Output::Broadcast(peers, message) => {
-                    self.said.extend(peers.into_iter().map(|peer| (end, peer, message.clone())));
+                Output::Send(connection, message) => self.in_flight.push_back((end, connection, message)),
+                Output::Broadcast(connections, message) => {
+                    self.in_flight
+                        .extend(connections.into_iter().map(|connection| (end, connection, message.clone())));
                 }
                 Output::Close(_) | Output::Answer(..) => {}
             }
         }
     }
 
-    fn act(&mut self, now: u64, act: impl Fn(&mut Registry, &mut Vec<Output>)) {
+    fn run(&mut self, now: u64, operation: impl Fn(&mut Registry, &mut Vec<Output>)) {
         for end in 0..2 {
             let mut out = Vec::new();
-            act(&mut self.ends[end], &mut out);
-            self.take(end, out);
+            operation(&mut self.ends[end], &mut out);
+            self.enqueue(end, out);
         }
-        while let Some((from, peer, message)) = self.said.pop_front() {
-            let (to, link) = (1 - from, Pair::link(from, peer));
-            self.heard[to][link] = now;
+        while let Some((from, connection, message)) = self.in_flight.pop_front() {
+            let (to, link) = (1 - from, RegistryPair::link(from, connection));
+            self.last_received[to][link] = now;
             let mut out = Vec::new();
-            self.ends[to].receive(now, 3 - peer, message, &mut out);
-            self.take(to, out);
+            self.ends[to].receive(now, 3 - connection, message, &mut out);
+            self.enqueue(to, out);
         }
     }
 }
 
 #[gtest]
-fn of_two_links_between_two_registries_neither_falls_silent() {
-    let mut pair = Pair::new();
-    pair.act(0, |registry, out| [1, 2].into_iter().for_each(|peer| registry.connected(peer, out)));
+fn neither_of_two_links_between_two_registries_times_out() {
+    let mut pair = RegistryPair::new();
+    pair.run(0, |registry, out| {
+        [1, 2].into_iter().for_each(|connection| registry.connected(connection, out))
+    });
     for now in (100_000..10_000_000).step_by(100_000) {
-        pair.act(now, |registry, out| registry.tick(now, out));
-        let oldest = pair.heard.iter().flatten().min().copied().unwrap_or(0);
-        let silent = u128::from(now - oldest) >= LINK_TIMEOUT.as_micros();
-        assert_that!(silent, eq(false), "at {now}, heard at {:?}", pair.heard);
+        pair.run(now, |registry, out| registry.tick(now, out));
+        let oldest = pair.last_received.iter().flatten().min().copied().unwrap_or(0);
+        let has_timed_out = u128::from(now - oldest) >= LINK_TIMEOUT.as_micros();
+        assert_that!(has_timed_out, eq(false), "at {now}, last messages at {:?}", pair.last_received);
     }
 }
--- a/crates/registry/tests/replication.rs
+++ b/crates/registry/tests/replication.rs
@@ -1,4 +1,5 @@
-//! What a registry tells its proxies of a configuration that comes to it in pieces.
+//! Configuration updates that anti-entropy splits: proxies must not receive a part of an operator's update, such as
+//! an API key that is removed from one tenant and not yet added to another.
 
 use std::time::Duration;
 
@@ -34,13 +35,13 @@
     registry
 }
 
-/// One key, which two tenants pass on to each other: both items belong to one call.
-fn pass_key(revision: u64) -> Vec<Item> {
+/// An update that moves an API key from one tenant to another: its two items belong together.
+fn move_api_key(revision: u64) -> Vec<Item> {
     let text = format!(
         r#"{{"upsert":{{"tenants":{{"column_names":["name","api_keys","revision"],
             "records":[["t1",[],{revision}],["t2",["k"],{revision}]]}}}}}}"#
     );
-    operator_call::parse_update(text.as_bytes()).expect("a change")
+    operator_call::parse_update(text.as_bytes()).expect("a valid update")
 }
 
 fn digest(items: &[Item]) -> u64 {
@@ -49,12 +50,12 @@
     item_set.digest()
 }
 
-fn piece(items: &[Item]) -> PeerMessage {
+fn sync_message(items: &[Item]) -> PeerMessage {
     PeerMessage::Sync { realm: 0, items: items.to_vec(), parts: Vec::new() }
 }
 
-/// What the proxy is told of the configuration.
-fn reported(registry: &mut Registry, now: u64, message: PeerMessage) -> Vec<PeerMessage> {
+/// Passes a message of the store to the registry, and returns the replication messages that the proxy gets.
+fn sent_to_proxy(registry: &mut Registry, now: u64, message: PeerMessage) -> Vec<PeerMessage> {
     let mut out = Vec::new();
     registry.receive(now, STORE, message, &mut out);
     let to_proxy = out.into_iter().filter_map(|output| match output {
@@ -70,12 +71,12 @@
 }
 
 #[gtest]
-fn pieces_of_a_call_are_told_once_all_of_them_have_come() {
+fn a_split_update_is_withheld_until_it_is_complete() {
     let mut registry = registry();
-    let call = pass_key(5);
-    expect_that!(reported(&mut registry, 3, PeerMessage::Digests([digest(&call), 0])), is_empty());
-    expect_that!(reported(&mut registry, 4, piece(&call[..1])), is_empty());
-    // Nor does a proxy that asks get at half of it.
+    let update = move_api_key(5);
+    expect_that!(sent_to_proxy(&mut registry, 3, PeerMessage::Digests([digest(&update), 0])), is_empty());
+    expect_that!(sent_to_proxy(&mut registry, 4, sync_message(&update[..1])), is_empty());
+    // A proxy that requests a sync does not get a part of it, either.
     let mut out = Vec::new();
     registry.receive(5, PROXY, PeerMessage::Digests([1, 0]), &mut out);
     registry.receive(
@@ -85,25 +86,25 @@
         &mut out,
     );
     expect_that!(out, is_empty());
-    let all = reported(&mut registry, 6, piece(&call[1..]));
-    expect_that!(all, elements_are![eq(&PeerMessage::Digests([digest(&call), 0]))]);
+    let all = sent_to_proxy(&mut registry, 6, sync_message(&update[1..]));
+    expect_that!(all, elements_are![eq(&PeerMessage::Digests([digest(&update), 0]))]);
 }
 
 #[gtest]
-fn a_call_that_comes_as_news_is_told_at_once() {
+fn a_complete_update_is_relayed_at_once() {
     let mut registry = registry();
-    let call = pass_key(5);
+    let update = move_api_key(5);
     expect_that!(
-        reported(&mut registry, 3, PeerMessage::Update(call.clone())),
-        elements_are![eq(&PeerMessage::Update(call))]
+        sent_to_proxy(&mut registry, 3, PeerMessage::Update(update.clone())),
+        elements_are![eq(&PeerMessage::Update(update))]
     );
 }
 
 #[gtest]
-fn where_no_store_says_the_same_for_long_proxies_are_told_all_the_same() {
+fn a_split_update_is_withheld_for_a_limited_time_if_no_store_has_an_equal_digest() {
     let mut registry = registry();
-    let call = pass_key(5);
-    expect_that!(reported(&mut registry, 3, piece(&call[..1])), is_empty());
+    let update = move_api_key(5);
+    expect_that!(sent_to_proxy(&mut registry, 3, sync_message(&update[..1])), is_empty());
     let mut digests = 0;
     for now in (10..2_000).step_by(100).map(|ms| ms * MILLISECOND) {
         let mut out = Vec::new();
@@ -113,7 +114,7 @@
             .filter(|o| matches!(o, Output::Broadcast(to, PeerMessage::Digests(_)) if to.contains(&PROXY)))
             .count();
         if now < 1_000 * MILLISECOND {
-            expect_that!(digests, eq(0), "told after {now} us");
+            expect_that!(digests, eq(0), "digests were sent after {now} us");
         }
     }
     expect_that!(digests, gt(0));
--- a/crates/registry/tests/rollout_calls.rs
+++ b/crates/registry/tests/rollout_calls.rs
@@ -1,5 +1,5 @@
-//! The operators' page names `rollouts.start` and `rollouts.read`. They were unknown here: an order was answered 404 three times
-//! and never acknowledged.
+//! The rollout calls of operators, and the rollouts that they start. Guards against documented calls that the registry does not
+//! serve: `rollouts.start` and `rollouts.read` were answered with 404, so no order was ever acknowledged.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -31,21 +31,21 @@
     Hello { node: node.into(), ip: OWN.into(), role, process_id: 7 }
 }
 
-/// The only registry of a core, its store, a proxy, and another registry that tells it of servers.
-struct Play {
+/// The only voting registry, its simulated store, a proxy, and another registry that reports servers to it.
+struct Simulation {
     registry: Registry,
     now: u64,
-    /// What the store has committed.
+    /// The items that the store has committed.
     committed: ItemSet,
     answers: Vec<(u64, u16)>,
     permits: Vec<RolloutPermit>,
     last_call: u64,
-    /// The servers that the other registry hears.
+    /// The keys of the servers whose heartbeats the other registry reports.
     servers: Vec<Key>,
 }
 
-impl Play {
-    fn new() -> Play {
+impl Simulation {
+    fn new() -> Simulation {
         let bounds = QuotaBounds { period: Duration::from_secs(5), overrun: 0.1, margin: 20.0 };
         let config = RegistryConfig {
             hello: hello("core-1", Role::Registry),
@@ -60,30 +60,30 @@
         committed.merge_all(operator_call::parse_update(SERVICE.as_bytes()).expect("a call"));
         let registry = Registry::new(0, config);
         let (answers, permits, servers) = Default::default();
-        let mut play = Play { registry, now: 0, committed, answers, permits, last_call: 0, servers };
-        play.receive(STORE, PeerMessage::Hello(hello("core-1", Role::ConfigStore)));
-        play.receive(PROXY, PeerMessage::Hello(hello("edge-1", Role::Proxy)));
-        play.receive(
+        let mut sim = Simulation { registry, now: 0, committed, answers, permits, last_call: 0, servers };
+        sim.receive(STORE, PeerMessage::Hello(hello("core-1", Role::ConfigStore)));
+        sim.receive(PROXY, PeerMessage::Hello(hello("edge-1", Role::Proxy)));
+        sim.receive(
             PEER,
             PeerMessage::Hello(Hello { ip: "127.0.0.2".into(), ..hello("core-2", Role::Registry) }),
         );
-        let items: Vec<Item> = play.committed.iter().cloned().collect();
-        play.receive(STORE, PeerMessage::Update(items));
-        play
+        let items: Vec<Item> = sim.committed.iter().cloned().collect();
+        sim.receive(STORE, PeerMessage::Update(items));
+        sim
     }
 
-    /// With a server of a version, and five seconds later: the duties are held, and what versions there are is decided.
-    fn with_server(version: &str) -> Play {
-        let mut play = Play::new();
+    /// With a server of a version, after five seconds: the registry has acquired the duties, and the baseline is set.
+    fn with_server(version: &str) -> Simulation {
+        let mut sim = Simulation::new();
         for peer in [STORE, PROXY, PEER] {
-            play.receive(peer, PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS));
+            sim.receive(peer, PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS));
         }
-        play.server("i1", version);
-        play.ticks(50);
-        play
+        sim.add_server("i1", version);
+        sim.advance_ticks(50);
+        sim
     }
 
-    fn server(&mut self, id: &str, version: &str) {
+    fn add_server(&mut self, id: &str, version: &str) {
         let server = Server {
             service: "s1".into(),
             address: SocketAddrV4::new([10, 0, 0, 1].into(), 80),
@@ -97,21 +97,23 @@
         self.servers.push(Key::new(Kind::Server, id));
     }
 
-    fn act(&mut self, act: impl FnOnce(&mut Registry, u64, &mut Vec<Output>)) {
+    fn run(&mut self, operation: impl FnOnce(&mut Registry, u64, &mut Vec<Output>)) {
         let mut out = Vec::new();
-        act(&mut self.registry, self.now, &mut out);
+        operation(&mut self.registry, self.now, &mut out);
         for output in out {
             match output {
                 Output::Answer(call, reply) => self.answers.push((call, reply.status)),
-                Output::Send(STORE, PeerMessage::ForwardCall(number, call)) => self.decide(number, call),
+                Output::Send(STORE, PeerMessage::ForwardCall(number, call)) => {
+                    self.answer_forwarded_call(number, call)
+                }
                 Output::Send(PROXY, PeerMessage::RolloutPermits(permits)) => self.permits.extend(permits),
                 _ => {}
             }
         }
     }
 
-    /// What the store does with a call.
-    fn decide(&mut self, number: u64, call: ForwardedCall) {
+    /// The store answers a forwarded call.
+    fn answer_forwarded_call(&mut self, number: u64, call: ForwardedCall) {
         let status = match call {
             ForwardedCall::ChangeRollout(change) => self.commit(&change),
             _ => 200,
@@ -139,10 +141,10 @@
     }
 
     fn receive(&mut self, connection: u64, message: PeerMessage) {
-        self.act(|registry, now, out| registry.receive(now, connection, message, out));
+        self.run(|registry, now, out| registry.receive(now, connection, message, out));
     }
 
-    fn ticks(&mut self, ticks: u64) {
+    fn advance_ticks(&mut self, ticks: u64) {
         for _ in 0..ticks {
             self.now += TICK;
             let membership = Membership::first([OWN.to_string()]);
@@ -151,27 +153,27 @@
             self.receive(STORE, PeerMessage::Digests([digest, 0]));
             let lease_left = LEASE_DURATION;
             self.receive(STORE, PeerMessage::Current { asked_at, epoch: 1, digest, lease_left });
-            let heard = |key: &Key| SeenHeartbeat { key_hash: key.key_hash(), age_ms: 0 };
-            let heartbeats = self.servers.iter().map(heard).collect();
+            let seen = |key: &Key| SeenHeartbeat { key_hash: key.key_hash(), age_ms: 0 };
+            let heartbeats = self.servers.iter().map(seen).collect();
             self.receive(PEER, PeerMessage::HeartbeatsSeen(heartbeats));
-            self.act(|registry, now, out| registry.tick(now, out));
+            self.run(|registry, now, out| registry.tick(now, out));
         }
     }
 
-    /// A call of the operator; the status of its answer.
+    /// Makes an operator's call, and returns the status of its answer if there is one.
     fn call(&mut self, query: &str, body: &[u8]) -> Option<u16> {
         let call = control_call::parse("POST", control_call::PATH, Some(query), body).expect("a call");
         self.last_call += 1;
         let number = self.last_call;
-        self.act(|registry, now, out| registry.call(now, number, call, out));
+        self.run(|registry, now, out| registry.call(now, number, call, out));
         self.answers.iter().find(|(call, _)| *call == number).map(|(_, status)| *status)
     }
 
-    fn report(&mut self, in_force: u64, has_drained: bool, bad: u32) {
+    fn report(&mut self, in_force: u64, has_drained: bool, failures: u32) {
         let order = self.rollout().order;
         let mut sample = RouteSample { route: 1, ..RouteSample::default() };
         (0..100).for_each(|_| sample.stable.count(50_000, false));
-        (0..100).for_each(|number| sample.target.count(50_000, number < bad));
+        (0..100).for_each(|number| sample.target.count(50_000, number < failures));
         let (service, sent_at, routes) = ("s1".into(), self.now, vec![sample]);
         let exposed_for = if self.permits.is_empty() { 0 } else { 5_000_000 };
         let report = RolloutReport { service, order, sent_at, in_force, exposed_for, has_drained, routes };
@@ -179,26 +181,27 @@
     }
 
     fn rollout(&self) -> Rollout {
-        self.committed.get(&Rollout::key("s1")).and_then(Rollout::from_item).expect("an item")
+        self.committed.get(&Rollout::key("s1")).and_then(Rollout::from_item).expect("a rollout item")
     }
 
-    /// Time passes until the rollout is at a stage, with reports as before.
-    fn until(&mut self, stage: Stage, bad: u32) {
+    /// Advances the time until the rollout is at a stage. Every 300 ms the proxy reports that `failures` of 100
+    /// requests to the target version failed.
+    fn advance_until(&mut self, stage: Stage, failures: u32) {
         for _ in 0..200 {
             if self.rollout().stage == stage {
                 return;
             }
-            self.ticks(3);
+            self.advance_ticks(3);
             let revision = self.committed.get(&Rollout::key("s1")).map_or(0, |item| item.version.revision);
             let has_drained = stage == Stage::Finished && self.rollout().stage == Stage::Cutover;
-            self.report(revision, has_drained, bad);
+            self.report(revision, has_drained, failures);
         }
-        panic!("it stays at {:?}", self.rollout().stage);
+        panic!("the rollout stays at {:?}", self.rollout().stage);
     }
 }
 
 #[gtest]
-fn the_order_of_a_rollout_and_its_read_are_calls_of_the_registry() {
+fn rollout_calls_are_served() {
     let started = control_call::parse("POST", control_call::PATH, Some("call=rollouts.start"), ORDER);
     expect_that!(started, ok(anything()));
     let read = control_call::parse("POST", control_call::PATH, Some("call=rollouts.read&of=huvo11a"), b"");
@@ -206,17 +209,21 @@
 }
 
 #[gtest]
-fn an_order_is_acknowledged_once_and_a_second_one_conflicts() {
-    let mut play = Play::with_server("v1");
-    expect_that!(play.call("call=rollouts.start", ORDER), some(eq(200)));
-    expect_that!(play.call("call=rollouts.start", ORDER), some(eq(200)), "the answer may have got lost");
-    expect_that!(play.call("call=rollouts.start", OTHER_ORDER), some(eq(409)));
-    expect_that!(play.rollout().stage, eq(Stage::Canary));
-    expect_that!(play.rollout().target, eq("v2"));
+fn a_repeated_order_is_acknowledged_and_a_different_one_conflicts() {
+    let mut sim = Simulation::with_server("v1");
+    expect_that!(sim.call("call=rollouts.start", ORDER), some(eq(200)));
+    expect_that!(
+        sim.call("call=rollouts.start", ORDER),
+        some(eq(200)),
+        "the first answer may have been lost"
+    );
+    expect_that!(sim.call("call=rollouts.start", OTHER_ORDER), some(eq(409)));
+    expect_that!(sim.rollout().stage, eq(Stage::Canary));
+    expect_that!(sim.rollout().target, eq("v2"));
 }
 
 #[gtest]
-fn an_order_that_makes_no_sense_is_the_callers_error() {
+fn an_invalid_order_is_answered_with_400() {
     for body in [&b"{}"[..], b"", br#"{"service":"s1","target_version":"v2","deadline":"soon"}"#] {
         let parsed = control_call::parse("POST", control_call::PATH, Some("call=rollouts.start"), body);
         expect_that!(parsed.map_err(|error| error.status()), err(eq(&400)));
@@ -226,57 +233,61 @@
 }
 
 #[gtest]
-fn a_registry_that_knows_no_server_of_a_service_sends_its_order_elsewhere() {
-    let mut play = Play::new();
-    expect_that!(play.call("call=rollouts.start", ORDER), some(eq(503)));
+fn an_order_for_a_service_without_known_servers_is_answered_with_503() {
+    let mut sim = Simulation::new();
+    expect_that!(sim.call("call=rollouts.start", ORDER), some(eq(503)));
 }
 
 #[gtest]
-fn versions_in_service_are_decided_before_any_order_so_that_a_new_one_gets_nothing() {
-    let mut play = Play::with_server("v1");
-    expect_that!(play.rollout().stage, eq(Stage::Baseline));
-    play.server("i2", "v2");
-    play.ticks(100);
-    expect_that!(play.rollout().stable, elements_are![eq("v1")]);
+fn the_baseline_is_set_before_any_order_and_excludes_later_versions() {
+    let mut sim = Simulation::with_server("v1");
+    expect_that!(sim.rollout().stage, eq(Stage::Baseline));
+    sim.add_server("i2", "v2");
+    sim.advance_ticks(100);
+    expect_that!(sim.rollout().stable, elements_are![eq("v1")]);
 }
 
-/// Machines are updated one by one, and an earlier release drops a link on which an item of a rollout comes.
+/// Machines are upgraded one by one, and an earlier release closes a link on which it receives a rollout item.
 #[gtest]
-fn nothing_is_decided_about_versions_while_a_peer_does_not_understand_it() {
-    let mut play = Play::new();
+fn no_baseline_is_set_while_a_peer_does_not_support_rollout_items() {
+    let mut sim = Simulation::new();
     for peer in [STORE, PEER] {
-        play.receive(peer, PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS));
+        sim.receive(peer, PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS));
     }
-    play.server("i1", "v1");
-    play.ticks(50);
-    expect_that!(play.call("call=rollouts.start", ORDER), some(eq(503)));
-    expect_that!(play.committed.get(&Rollout::key("s1")), none());
-    play.receive(PROXY, PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS));
-    play.ticks(20);
-    expect_that!(play.call("call=rollouts.start", ORDER), some(eq(200)));
+    sim.add_server("i1", "v1");
+    sim.advance_ticks(50);
+    expect_that!(sim.call("call=rollouts.start", ORDER), some(eq(503)));
+    expect_that!(sim.committed.get(&Rollout::key("s1")), none());
+    sim.receive(PROXY, PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS));
+    sim.advance_ticks(20);
+    expect_that!(sim.call("call=rollouts.start", ORDER), some(eq(200)));
 }
 
 #[gtest]
-fn a_good_version_is_finished_once_the_proxy_has_drained_the_old_one() {
-    let mut play = Play::with_server("v1");
-    play.call("call=rollouts.start", ORDER);
-    play.report(0, false, 0);
-    expect_that!(play.permits, is_empty(), "no server of the new version is there");
-    play.server("i2", "v2");
-    play.until(Stage::Cutover, 0);
-    expect_that!(play.permits, not(is_empty()));
-    play.ticks(30);
-    expect_that!(play.rollout().stage, eq(Stage::Cutover), "it has not reported that it has");
-    play.until(Stage::Finished, 0);
+fn a_rollout_without_failures_finishes_once_the_proxy_has_drained_the_old_version() {
+    let mut sim = Simulation::with_server("v1");
+    sim.call("call=rollouts.start", ORDER);
+    sim.report(0, false, 0);
+    expect_that!(sim.permits, is_empty(), "there is no server of the new version");
+    sim.add_server("i2", "v2");
+    sim.advance_until(Stage::Cutover, 0);
+    expect_that!(sim.permits, not(is_empty()));
+    sim.advance_ticks(30);
+    expect_that!(
+        sim.rollout().stage,
+        eq(Stage::Cutover),
+        "the proxy has not reported that it has drained the old version"
+    );
+    sim.advance_until(Stage::Finished, 0);
 }
 
 #[gtest]
-fn a_bad_version_is_reverted_and_nothing_is_permitted_after_that() {
-    let mut play = Play::with_server("v1");
-    play.call("call=rollouts.start", ORDER);
-    play.server("i2", "v2");
-    play.until(Stage::Reverted, 40);
-    play.permits.clear();
-    play.report(9, false, 40);
-    expect_that!(play.permits, is_empty());
+fn a_rollout_with_failures_is_reverted_and_gets_no_more_permits() {
+    let mut sim = Simulation::with_server("v1");
+    sim.call("call=rollouts.start", ORDER);
+    sim.add_server("i2", "v2");
+    sim.advance_until(Stage::Reverted, 40);
+    sim.permits.clear();
+    sim.report(9, false, 40);
+    expect_that!(sim.permits, is_empty());
 }
