--- a/crates/registry/src/call_body.rs
+++ b/crates/registry/src/call_body.rs
@@ -29,7 +29,7 @@
     /// The memory limit for all bodies is reached.
     #[error("other calls hold too much")]
     OutOfMemory,
-    /// It did not arrive within [`READ_TIMEOUT`].
+    /// It did not arrive in time.
     #[error("the body has not come in time")]
     TimedOut,
     /// The connection failed before the end of the body.
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -144,6 +144,7 @@
     own_store_last_message: Micros,
     /// When the machine's own store was last confirmed as current.
     own_store_last_current: Micros,
+    /// When the next status is due.
     next_status: Micros,
     /// When the digests here were last equal to those of a store or another registry.
     last_equal: Micros,
@@ -225,6 +226,7 @@
         &mut self.realms[usize::from(RUNTIME_REALM)]
     }
 
+    /// The digests of the configuration items and the runtime items.
     fn digests(&self) -> [u64; 2] {
         [self.config_items().digest(), self.runtime_items().digest()]
     }
@@ -234,6 +236,7 @@
         self.config.time_of_day + now / 1_000_000
     }
 
+    /// A number that is unique within this process.
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -286,6 +289,8 @@
         }
     }
 
+    /// Updates whether a majority of the core is reached. After a stall the majority counts as newly reached, so that losses are
+    /// postponed.
     fn update_majority(&mut self, now: Micros, has_stalled: bool) {
         let registries = self.registry_connections();
         let is_reached = |ip: &&String| **ip == self.config.hello.ip || registries.contains_key(*ip);
--- a/crates/registry/src/registry/call_forwarding.rs
+++ b/crates/registry/src/registry/call_forwarding.rs
@@ -36,6 +36,7 @@
 #[derive(Debug)]
 struct OpenCall {
     caller: Caller,
+    /// When the call arrived; a retry does not change it.
     since: Micros,
     /// The connection on which it was forwarded; answers on other connections are ignored.
     store: ConnectionId,
--- a/crates/registry/src/registry/endpoints.rs
+++ b/crates/registry/src/registry/endpoints.rs
@@ -32,8 +32,11 @@
 /// A draining or deregistering server whose call is answered once another registry has acknowledged the item.
 #[derive(Debug)]
 struct PendingDeregistration {
+    /// The number of the server's call.
     call: u64,
+    /// The server's id.
     id: String,
+    /// When the call arrived.
     since: Micros,
     /// The connections on which other registries were asked; acknowledgements on other connections are ignored.
     requested_on: BTreeSet<ConnectionId>,
@@ -185,6 +188,7 @@
         out.push(Output::Broadcast(receivers, message));
     }
 
+    /// Rejects the call of a draining or deregistering server.
     fn reject_deregistration(&mut self, call: u64, out: &mut Vec<Output>) {
         self.counters.deregistrations_rejected += 1;
         out.push(Output::Answer(call, CallReply::error(503, "no other registry holds it")));
@@ -218,7 +222,7 @@
                 failed.push(number);
             }
         }
-        self.reject_deregistrations(failed, out);
+        self.reject_pending_deregistrations(failed, out);
     }
 
     /// Rejects deregistrations that no other registry has acknowledged within [`REPLICATION_TIMEOUT`].
@@ -226,10 +230,11 @@
         let pending = self.endpoints.pending.iter();
         let expired = pending.filter(|(_, pending)| now >= pending.since + REPLICATION_TIMEOUT);
         let expired: Vec<u64> = expired.map(|(&number, _)| number).collect();
-        self.reject_deregistrations(expired, out);
+        self.reject_pending_deregistrations(expired, out);
     }
 
-    fn reject_deregistrations(&mut self, numbers: Vec<u64>, out: &mut Vec<Output>) {
+    /// Drops pending deregistrations and rejects their calls.
+    fn reject_pending_deregistrations(&mut self, numbers: Vec<u64>, out: &mut Vec<Output>) {
         for number in numbers {
             if let Some(pending) = self.endpoints.pending.remove(&number) {
                 self.reject_deregistration(pending.call, out);
--- a/crates/registry/src/registry/processes.rs
+++ b/crates/registry/src/registry/processes.rs
@@ -28,7 +28,7 @@
 /// What another registry has reported in its last status.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerRegistry {
-    /// The number of proxies that it knows.
+    /// The number of linked and missing proxies there.
     pub proxies: u32,
     /// The IP addresses of the registries that it is linked to, and its own.
     pub registries: Vec<String>,
@@ -37,7 +37,9 @@
 /// The position of a proxy among all proxies, by which they share quotas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ProxyPosition {
+    /// The index among all known proxies, ordered by node.
     index: u32,
+    /// The total number of proxies.
     proxies: u32,
 }
 
--- a/crates/registry/src/registry/rollout_duty.rs
+++ b/crates/registry/src/registry/rollout_duty.rs
@@ -120,6 +120,7 @@
         decoded.filter(|(_, server)| matches!(server.state, ServerState::Ready | ServerState::Draining))
     }
 
+    /// Whether this registry holds the duty for a service's rollouts.
     fn has_rollout_duty(&self, now: Micros, service: &str) -> bool {
         self.duties.holds(now, slice_of(service))
     }
