--- a/crates/peer-link/src/lib.rs
+++ b/crates/peer-link/src/lib.rs
@@ -1,10 +1,10 @@
-//! Links between the gateway's own processes.
+//! Links: TCP connections between the gateway's own processes.
 //!
-//! - [`message`]: what processes send each other.
-//! - [`codec`]: how messages are framed, and the bounds on what is read.
-//! - [`link`]: connections that are made anew as long as they are wanted.
-//! - [`process_address`]: where processes are reached.
-//! - [`query`]: one short connection to a process, which asks for its metrics.
+//! - [`message`]: the messages.
+//! - [`codec`]: framing and encoding of messages, with limits on length and memory.
+//! - [`link`]: long-lived connections that are re-established after a failure.
+//! - [`process_address`]: the addresses of processes.
+//! - [`query`]: a single request for the metrics of a process on a connection of its own.
 
 pub mod codec;
 pub mod link;
--- a/crates/peer-link/src/link.rs
+++ b/crates/peer-link/src/link.rs
@@ -1,7 +1,7 @@
-//! Links between the gateway's own processes: connections that are made anew as long as they are wanted.
+//! Links between the gateway's own processes: TCP connections that are re-established with backoff while their handle exists.
 //!
-//! A link that has been silent for [`LINK_TIMEOUT`] is closed; whoever is alive sends something each [`KEEPALIVE_INTERVAL`].
-//! All links of a process share bounds on what they buffer, so that no peer can exhaust its memory.
+//! A link without incoming bytes for [`LINK_TIMEOUT`] is closed, so each end sends something every [`KEEPALIVE_INTERVAL`]. All
+//! links of a process share limits on received data that is buffered, so that no peer can exhaust its memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -27,60 +27,61 @@
 /// Identifies a connection of this process; never reused.
 pub type ConnectionId = u64;
 
-/// A link that has been silent for so long is closed.
+/// A link is closed if nothing arrives on it for this long.
 pub const LINK_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How often each end of a link sends something.
+/// Each end of a link sends at least one message in this interval.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(600);
-/// How long a connection may take to come up.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The first backoff between attempts to connect.
+/// The initial backoff between attempts to connect.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// The longest backoff.
+/// The maximum backoff.
 const BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// Bytes that may wait for a peer that does not read; with more, the link is closed.
+/// The maximum size of a link's send queue, in bytes. A link whose peer reads too slowly is closed above it.
 const SEND_QUEUE_LIMIT: usize = 32 << 20;
-/// Pause of the listener when accepting fails.
+/// The pause of the listener after a failed `accept`.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Connections that may wait to be accepted.
+/// The length of the listener's accept queue.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// Connections that others may have to this process at once.
+/// The maximum number of simultaneous incoming connections; further ones are closed immediately.
 const MAX_ACCEPTED: usize = 1_024;
-/// Bytes that incomplete messages on all links may take; above it the link that holds most is closed. One message of the
-/// greatest length fits: its buffer grows by doubling.
+/// The limit on the capacity of all receive buffers together, in bytes; above it the link with the largest buffer is closed. A
+/// single message of the maximum length fits, although its buffer grows by doubling.
 const RECEIVE_BUFFER_LIMIT: usize = 40 << 20;
-/// KiB that received messages may take until the process handles them, each counted as one more than its length; links are not
-/// read meanwhile. A peer can send messages of five bytes faster than they are handled.
+/// The limit on received messages that the process has not handled yet, in KiB; each message counts as its length rounded down
+/// to KiB, plus one. A link is not read while its next message exceeds the limit: a peer can send messages of five bytes faster
+/// than they are handled.
 const UNHANDLED_LIMIT_KIB: u32 = 4 * 1024;
 
-/// What happens on links.
+/// An event on a link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A connection has come up, and the address of its other end.
+    /// A connection was established, with the address of its other end.
     Connected(ConnectionId, SocketAddrV4),
-    /// A message has arrived on it.
+    /// A message has arrived on a connection.
     Received(ConnectionId, PeerMessage),
-    /// It is gone.
+    /// A connection has ended.
     Disconnected(ConnectionId),
 }
 
-/// One connection, as the process sees it.
+/// The state of one connection.
 struct Connection {
     queue: UnboundedSender<Bytes>,
-    /// Bytes that wait in the queue.
-    queued: Rc<Cell<usize>>,
-    /// Capacity of its receive buffer, in bytes.
-    receive_buffer: usize,
+    /// The size of the send queue, in bytes.
+    queued_bytes: Rc<Cell<usize>>,
+    /// The capacity of its receive buffer, in bytes.
+    receive_capacity: usize,
     close: Rc<Notify>,
 }
 
-/// An event, and the share of [`UNHANDLED_LIMIT_KIB`] that it takes until it is handled.
+/// An event, and the permits of [`UNHANDLED_LIMIT_KIB`] that a message holds until it is handled.
 type QueuedEvent = (LinkEvent, Option<OwnedSemaphorePermit>);
 
-/// The events of a process's links, in their order.
+/// The events of all links of a process, in order.
 pub struct LinkEvents(UnboundedReceiver<QueuedEvent>);
 
 impl LinkEvents {
-    /// The next event; `None` once the links are gone.
+    /// Waits for the next event; `None` once the links are dropped.
     pub async fn recv(&mut self) -> Option<LinkEvent> {
         self.0.recv().await.map(|(event, _)| event)
     }
@@ -90,18 +91,18 @@
 pub struct Links {
     events: UnboundedSender<QueuedEvent>,
     unhandled: Arc<Semaphore>,
-    /// Capacity of all receive buffers, in bytes.
-    receive_buffers: Cell<usize>,
+    /// The capacity of all receive buffers together, in bytes.
+    total_receive_capacity: Cell<usize>,
     connections: RefCell<BTreeMap<ConnectionId, Connection>>,
     last_connection: Cell<ConnectionId>,
     accepted: Cell<usize>,
     sent_bytes: Cell<u64>,
     received_bytes: Cell<u64>,
-    /// Connections that were closed because something malformed arrived.
+    /// The number of connections that were closed because of malformed input.
     malformed: Cell<u64>,
 }
 
-/// A link that is wanted. Dropping it closes the link and ends all attempts to connect.
+/// Handle to an outgoing link. Dropping it closes the link and ends all attempts to connect.
 #[must_use = "dropping it closes the link"]
 pub struct LinkHandle(AbortHandle);
 
@@ -111,7 +112,7 @@
     }
 }
 
-/// Removes its connection when the connection's task ends, however that ends.
+/// Removes a connection when its task ends, also by cancellation.
 struct ConnectionGuard {
     links: Rc<Links>,
     id: ConnectionId,
@@ -122,7 +123,9 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if let Some(connection) = self.links.connections.borrow_mut().remove(&self.id) {
-            self.links.receive_buffers.set(self.links.receive_buffers.get() - connection.receive_buffer);
+            self.links
+                .total_receive_capacity
+                .set(self.links.total_receive_capacity.get() - connection.receive_capacity);
         }
         if self.reported.get() {
             let _ = self.links.events.send((LinkEvent::Disconnected(self.id), None));
@@ -131,13 +134,13 @@
 }
 
 impl Links {
-    /// No links yet, and the events of those to come.
+    /// Creates an empty set of links, and the receiver of their events.
     pub fn new() -> (Rc<Links>, LinkEvents) {
         let (events, receiver) = unbounded_channel();
         let links = Links {
             events,
             unhandled: Arc::new(Semaphore::new(UNHANDLED_LIMIT_KIB as usize)),
-            receive_buffers: Cell::new(0),
+            total_receive_capacity: Cell::new(0),
             connections: RefCell::default(),
             last_connection: Cell::new(0),
             accepted: Cell::new(0),
@@ -148,7 +151,7 @@
         (Rc::new(links), LinkEvents(receiver))
     }
 
-    /// Metrics of all links. The names begin with the program's.
+    /// Metrics of all links. `program` is the prefix of their names.
     pub fn metrics(&self, program: &str) -> Vec<Metric> {
         [
             ("links", self.connections.borrow().len() as f64),
@@ -160,10 +163,10 @@
         .to_vec()
     }
 
-    /// Accepts links at an address.
+    /// Accepts links on an address.
     ///
     /// # Errors
-    /// If the address cannot be listened at.
+    /// If the process cannot listen on the address.
     pub fn listen(self: &Rc<Self>, address: SocketAddrV4) -> io::Result<()> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -180,20 +183,20 @@
                     self.accepted.set(self.accepted.get() + 1);
                     let links = self.clone();
                     tokio::task::spawn_local(async move {
-                        links.clone().carry(stream, from).await;
+                        links.clone().run_connection(stream, from).await;
                         links.accepted.set(links.accepted.get() - 1);
                     });
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    log::warn!("accepting a link failed: {error}");
+                    log::warn!("failed to accept a connection: {error}");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Keeps a link to an address, which is made anew whenever it breaks.
+    /// Connects to an address, and reconnects with exponential backoff until the handle is dropped.
     pub fn connect(self: &Rc<Self>, address: SocketAddrV4) -> LinkHandle {
         let links = self.clone();
         let task = tokio::task::spawn_local(async move {
@@ -201,7 +204,7 @@
             loop {
                 if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
                     backoff = BACKOFF_MIN;
-                    links.clone().carry(stream, address).await;
+                    links.clone().run_connection(stream, address).await;
                 }
                 sleep(backoff).await;
                 backoff = (backoff * 2).min(BACKOFF_MAX);
@@ -210,12 +213,12 @@
         LinkHandle(task.abort_handle())
     }
 
-    /// Sends a message on a connection; nothing if it is gone.
+    /// Queues a message on a connection; does nothing if the connection has ended.
     pub fn send(&self, id: ConnectionId, message: &PeerMessage) {
         self.send_bytes(id, codec::encode(message));
     }
 
-    /// Sends the same message on many connections, encoded once.
+    /// Queues the same message on several connections, and encodes it only once.
     pub fn send_all(&self, ids: impl IntoIterator<Item = ConnectionId>, message: &PeerMessage) {
         let bytes = codec::encode(message);
         ids.into_iter().for_each(|id| self.send_bytes(id, bytes.clone()));
@@ -225,8 +228,8 @@
         let connections = self.connections.borrow();
         let Some(connection) = connections.get(&id) else { return };
         self.sent_bytes.set(self.sent_bytes.get() + bytes.len() as u64);
-        connection.queued.set(connection.queued.get() + bytes.len());
-        if connection.queued.get() > SEND_QUEUE_LIMIT {
+        connection.queued_bytes.set(connection.queued_bytes.get() + bytes.len());
+        if connection.queued_bytes.get() > SEND_QUEUE_LIMIT {
             connection.close.notify_one();
         } else {
             let _ = connection.queue.send(bytes);
@@ -240,37 +243,41 @@
         }
     }
 
-    /// Notes the capacity of a connection's receive buffer.
-    fn set_receive_buffer(&self, id: ConnectionId, bytes: usize) {
+    /// Updates the capacity of a connection's receive buffer, and enforces [`RECEIVE_BUFFER_LIMIT`].
+    fn set_receive_capacity(&self, id: ConnectionId, bytes: usize) {
         let mut connections = self.connections.borrow_mut();
         let Some(connection) = connections.get_mut(&id) else { return };
-        let before = std::mem::replace(&mut connection.receive_buffer, bytes);
-        self.receive_buffers.set(self.receive_buffers.get() - before + bytes);
-        if self.receive_buffers.get() > RECEIVE_BUFFER_LIMIT {
-            if let Some(largest) = connections.values().max_by_key(|connection| connection.receive_buffer) {
+        let previous = std::mem::replace(&mut connection.receive_capacity, bytes);
+        self.total_receive_capacity.set(self.total_receive_capacity.get() - previous + bytes);
+        if self.total_receive_capacity.get() > RECEIVE_BUFFER_LIMIT {
+            if let Some(largest) = connections.values().max_by_key(|connection| connection.receive_capacity) {
                 largest.close.notify_one();
             }
         }
     }
 
-    /// Reports a message once [`UNHANDLED_LIMIT_KIB`] allows it.
+    /// Emits the event of a received message, once there are enough permits of [`UNHANDLED_LIMIT_KIB`].
     async fn report_received(&self, id: ConnectionId, message: PeerMessage, bytes: usize) {
-        let share = (1 + bytes / 1024).min(UNHANDLED_LIMIT_KIB as usize) as u32;
-        let permit = self.unhandled.clone().acquire_many_owned(share).await.ok();
+        let permits = (1 + bytes / 1024).min(UNHANDLED_LIMIT_KIB as usize) as u32;
+        let permit = self.unhandled.clone().acquire_many_owned(permits).await.ok();
         let _ = self.events.send((LinkEvent::Received(id, message), permit));
     }
 
-    /// Carries one connection until it ends. Cancelling closes it.
-    async fn carry(self: Rc<Self>, stream: TcpStream, peer: SocketAddrV4) {
-        // Without these options messages are later, not wrong.
+    /// Runs one connection until it ends. Cancelling the future closes it.
+    async fn run_connection(self: Rc<Self>, stream: TcpStream, peer: SocketAddrV4) {
+        // Errors are ignored: without these options messages and failure detection are only slower.
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(LINK_TIMEOUT));
         let id = self.last_connection.get() + 1;
         self.last_connection.set(id);
         let (queue, receiver) = unbounded_channel::<Bytes>();
-        let (queued, close) = (Rc::new(Cell::new(0_usize)), Rc::new(Notify::new()));
-        let connection =
-            Connection { queue, queued: queued.clone(), receive_buffer: 0, close: close.clone() };
+        let (queued_bytes, close) = (Rc::new(Cell::new(0_usize)), Rc::new(Notify::new()));
+        let connection = Connection {
+            queue,
+            queued_bytes: queued_bytes.clone(),
+            receive_capacity: 0,
+            close: close.clone(),
+        };
         self.connections.borrow_mut().insert(id, connection);
         let reported = Rc::new(Cell::new(false));
         let _guard = ConnectionGuard { links: self.clone(), id, reported: reported.clone() };
@@ -281,14 +288,14 @@
             result = self.read_messages(reader, id, peer, &reported) => {
                 if let Err(error) = result {
                     self.malformed.set(self.malformed.get() + 1);
-                    log::debug!("a link from {peer} ended: {error}");
+                    log::debug!("closing the link with {peer}: {error}");
                 }
             }
-            _ = write_messages(writer, receiver, &queued) => {}
+            _ = write_messages(writer, receiver, &queued_bytes) => {}
         }
     }
 
-    /// Reads messages until the connection ends or is silent for too long.
+    /// Reads messages until the connection ends or nothing arrives for [`LINK_TIMEOUT`].
     async fn read_messages(
         &self,
         mut reader: OwnedReadHalf,
@@ -302,8 +309,8 @@
                 Ok(Ok(bytes @ 1..)) => self.received_bytes.set(self.received_bytes.get() + bytes as u64),
                 _ => return Ok(()),
             }
-            self.set_receive_buffer(id, decoder.capacity());
-            if decoder.has_greeted()? && !reported.replace(true) {
+            self.set_receive_capacity(id, decoder.capacity());
+            if decoder.greeting_received()? && !reported.replace(true) {
                 let _ = self.events.send((LinkEvent::Connected(id, peer), None));
             }
             let mut buffered = decoder.buffered();
@@ -316,22 +323,22 @@
     }
 }
 
-/// Writes the greeting and then what is queued, until the connection ends.
+/// Writes the greeting and then the queued messages, until the connection ends.
 async fn write_messages(
     mut writer: OwnedWriteHalf,
     mut queue: UnboundedReceiver<Bytes>,
-    queued: &Cell<usize>,
+    queued_bytes: &Cell<usize>,
 ) -> io::Result<()> {
     writer.write_all(&GREETING).await?;
     while let Some(first) = queue.recv().await {
         let bytes = join_queued(first, &mut queue);
-        queued.set(queued.get().saturating_sub(bytes.len()));
+        queued_bytes.set(queued_bytes.get().saturating_sub(bytes.len()));
         writer.write_all(&bytes).await?;
     }
     Ok(())
 }
 
-/// Joins all that is queued, so that it is written at once.
+/// Concatenates all queued messages, so that they are written at once.
 fn join_queued(first: Bytes, queue: &mut UnboundedReceiver<Bytes>) -> Bytes {
     let Ok(second) = queue.try_recv() else { return first };
     let mut joined = BytesMut::from(&first[..]);
--- a/crates/peer-link/src/message.rs
+++ b/crates/peer-link/src/message.rs
@@ -1,4 +1,4 @@
-//! What the gateway's own processes send each other. The order of variants and fields is part of the encoding on the wire.
+//! Messages between the gateway's own processes. The order of variants and fields is part of the wire format.
 
 use bincode::{Decode, Encode};
 use pinerelay_admission::duty::DutyMessage;
@@ -10,20 +10,20 @@
 use pinerelay_consensus::{Membership, Message as ConsensusMessage};
 use pinerelay_rollout::report::{RolloutPermit, RolloutReport};
 
-/// The number of registries that a proxy is linked to at least. It is linked to all voters, which duties are spread over, and
-/// to others where fewer voters are reached.
+/// The minimum number of registries that a proxy is linked to. It is linked to all voters, which the duties are distributed
+/// over, and to other registries if it reaches fewer voters.
 pub const MIN_REGISTRIES_PER_PROXY: usize = 3;
 
-/// The realm of the configuration's items.
+/// The realm of configuration items.
 pub const CONFIG_REALM: u8 = 0;
 /// The realm of all other items: servers and nodes.
 pub const RUNTIME_REALM: u8 = 1;
 
-/// In [`PeerMessage::ConfirmCurrent`], in place of a time: the sender understands items and messages of rollouts. Earlier releases,
-/// which would drop a link on which such an item comes, pass over this question or give an answer that is passed over.
+/// In [`PeerMessage::ConfirmCurrent`], instead of a time: the sender understands items and messages of rollouts. Earlier releases
+/// would close a link on which such an item arrives; they ignore this message, or send an answer that is ignored.
 pub const UNDERSTANDS_ROLLOUTS: u64 = u64::MAX;
 
-/// The program that a process runs.
+/// The program that a process executes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum Role {
     /// The proxy.
@@ -32,7 +32,7 @@
     Registry,
     /// The store of the configuration.
     ConfigStore,
-    /// A tool that reads and changes nothing.
+    /// A read-only tool.
     Observer,
 }
 
@@ -48,16 +48,16 @@
     }
 }
 
-/// The sender of the messages on a connection.
+/// Identifies the process at one end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Hello {
     /// The name of its machine.
     pub node: String,
-    /// Its address.
+    /// The address of its machine.
     pub ip: String,
     /// Its program.
     pub role: Role,
-    /// Different for each process.
+    /// Differs between processes, also between restarts of the same program.
     pub process_id: u64,
 }
 
@@ -68,20 +68,20 @@
     Update(Vec<u8>),
     /// `config.read`.
     Read,
-    /// `rollouts.start`, or what a registry has decided about a rollout.
+    /// `rollouts.start`, or a registry's decision about a rollout.
     ChangeRollout(RolloutChange),
     /// `rollouts.read` of this service.
     ReadRollout(String),
 }
 
 impl ForwardedCall {
-    /// Whether it changes what is committed.
+    /// Whether the call may commit a change.
     pub fn is_change(&self) -> bool {
         matches!(self, ForwardedCall::Update(_) | ForwardedCall::ChangeRollout(_))
     }
 }
 
-/// The answer to a call from outside.
+/// The answer to an operator's call.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct CallReply {
     /// The HTTP status.
@@ -91,57 +91,57 @@
 }
 
 impl CallReply {
-    /// The answer to a call that was carried out and returns nothing.
+    /// The answer to a successful call without a result.
     pub fn ok() -> CallReply {
         CallReply { status: 200, body: "{}".into() }
     }
 
-    /// An answer that tells what is wrong.
+    /// An error answer with a reason.
     pub fn error(status: u16, reason: &str) -> CallReply {
         let reason = sonic_rs::to_string(reason).unwrap_or_else(|_| "\"\"".into());
         CallReply { status, body: format!("{{\"error\":{reason}}}") }
     }
 }
 
-/// The state of a registry, sent now and then to all that are linked to it.
+/// The state of a registry, which it sends to all linked processes.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct RegistryStatus {
     /// The addresses of the registries that it knows, itself included.
     pub registries: Vec<String>,
-    /// The core machines that vote, and that duties are spread over.
+    /// The voting core machines, which the duties are distributed over.
     pub voters: Vec<String>,
-    /// The epoch of that membership; 0 if it is not known.
+    /// The epoch of that membership; 0 if unknown.
     pub epoch: u64,
-    /// Whether no node acts by the epoch before any more.
+    /// Whether no node acts under the previous epoch any more.
     pub epoch_settled: bool,
-    /// The number of proxies that share the tenants' rates.
+    /// The number of proxies that the rates of tenants are divided among.
     pub proxies: u32,
     /// Whether it reaches a majority of the core.
     pub has_majority: bool,
     /// Whether it has the complete configuration.
     pub is_complete: bool,
-    /// Whether it has what a store had whose replica was current within the last [`LEASE_DURATION`]. For how long that still
-    /// counts is the answer to [`PeerMessage::ConfirmCurrent`].
+    /// Whether it has the configuration of a store whose replica was current within the last [`LEASE_DURATION`]. The answer to
+    /// [`PeerMessage::ConfirmCurrent`] contains the remaining duration.
     pub is_current: bool,
 }
 
 /// The processes that a registry knows.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ProcessList {
-    /// Itself and those that are linked to it.
+    /// The registry itself and the processes that are linked to it.
     pub linked: Vec<Hello>,
-    /// Machines of proxies that have gone without a goodbye.
+    /// Machines of proxies that disconnected without [`PeerMessage::Goodbye`].
     pub missing: Vec<String>,
-    /// The core machines that vote.
+    /// The voting core machines.
     pub voters: Vec<String>,
 }
 
-/// A server that has been heard.
+/// The last heartbeat of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct SeenHeartbeat {
     /// The hash of its item's key.
     pub key_hash: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// The time since the heartbeat, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -150,26 +150,26 @@
 pub struct TenantGrant {
     /// The tenant.
     pub tenant: String,
-    /// What is granted.
+    /// The granted lease.
     pub grant: LeaseGrant,
 }
 
 /// One metric of a process.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Metric {
-    /// Its name; may end with labels.
+    /// The name, optionally followed by labels.
     pub name: String,
     /// Its value.
     pub value: f64,
 }
 
 impl Metric {
-    /// A metric of this name.
+    /// Creates a metric.
     pub fn new(name: impl Into<String>, value: f64) -> Metric {
         Metric { name: name.into(), value }
     }
 
-    /// A metric that is 1 if something holds, and 0 otherwise.
+    /// A metric that is 1 for true and 0 for false.
     pub fn flag(name: impl Into<String>, value: bool) -> Metric {
         Metric::new(name, f64::from(u8::from(value)))
     }
@@ -186,86 +186,87 @@
     Update(Vec<Item>),
     /// The digests of the sender's items, by realm.
     Digests([u64; 2]),
-    /// Anti-entropy.
+    /// One step of anti-entropy.
     Sync {
         /// [`CONFIG_REALM`] or [`RUNTIME_REALM`].
         realm: u8,
         /// Items that are newer or unknown, as far as the sender knows.
         items: Vec<Item>,
-        /// What to compare or send next.
+        /// The parts of the realm to compare or to send next.
         parts: Vec<SyncPart>,
     },
-    /// Items that must not get lost with the sender. [`PeerMessage::Replicated`] of the same number is expected.
+    /// Items that must survive a failure of the sender. The receiver acknowledges them by [`PeerMessage::Replicated`].
     Replicate {
-        /// Returned.
+        /// Repeated in the acknowledgement.
         number: u64,
         /// The items.
         items: Vec<Item>,
     },
-    /// The receiver holds them.
+    /// Acknowledges the [`PeerMessage::Replicate`] with this number.
     Replicated(u64),
-    /// Servers that the sending registry has heard itself.
+    /// Heartbeats that the sending registry has received directly from servers.
     HeartbeatsSeen(Vec<SeenHeartbeat>),
     /// The state of the sending registry.
     RegistryStatus(RegistryStatus),
-    /// To a proxy: its place among all of them.
+    /// To a proxy: its index among all proxies.
     ProxyPlace {
         /// Its index, from 0.
         index: u32,
         /// The number of proxies.
         proxies: u32,
     },
-    /// The sender is alive, and has nothing else to send.
+    /// Keeps a link open on which nothing else is sent.
     KeepAlive,
-    /// Between registries: who has which duties.
+    /// Between registries: assignment of duties.
     Duty(DutyMessage),
     /// A proxy's requests for leases of quota units.
     LeaseRequests(Vec<LeaseRequest>),
-    /// What is granted, tenant by tenant.
+    /// Leases that are granted to a proxy, by tenant.
     LeaseGrants(Vec<TenantGrant>),
-    /// Between stores.
+    /// Between stores: a message of the consensus protocol.
     Consensus(ConsensusMessage),
     /// The state of the sending store.
     StoreStatus {
-        /// The voting stores.
+        /// The membership of the consensus group.
         membership: Membership,
-        /// Its replica is complete, or it needs none.
+        /// Whether its replica is complete, or it needs none.
         is_complete: bool,
-        /// A quorum has confirmed that its replica held all that was committed at a moment of the last [`LEASE_DURATION`].
+        /// Whether a quorum has confirmed that its replica contained all committed items at some time within the last
+        /// [`LEASE_DURATION`].
         is_current: bool,
     },
-    /// To a store or a registry: is your replica current? The sender's time is returned.
+    /// To a store or a registry: asks whether its replica is current. Contains the sender's time, which the answer repeats.
     ConfirmCurrent(u64),
-    /// It is.
+    /// Confirms that the sender's replica is current.
     Current {
-        /// As in the question.
+        /// The time from [`PeerMessage::ConfirmCurrent`].
         asked_at: u64,
         /// The epoch of the membership.
         epoch: u64,
         /// The digest of the configuration's items.
         digest: u64,
-        /// What was left of the sender's own lease, in microseconds. The receiver counts it from when it asked, so that its
-        /// lease ends no later than the one that it comes from.
+        /// The remaining duration of the sender's own lease, in microseconds. The receiver counts it from `asked_at`, so that
+        /// its lease ends no later than the sender's.
         lease_left: u64,
     },
-    /// A call that is forwarded under a number.
+    /// A forwarded call, with the number that its reply repeats.
     ForwardCall(u64, ForwardedCall),
-    /// The answer to the call of a number.
+    /// The reply to the call with this number.
     CallReply(u64, CallReply),
     /// Requests the receiver's metrics.
     MetricsRequest,
     /// The sender's metrics.
     Metrics(Vec<Metric>),
-    /// To a registry: requests the processes that it knows.
+    /// To a registry: requests its [`ProcessList`].
     ProcessListRequest,
-    /// The processes that the sending registry knows.
+    /// The process list of the sending registry.
     ProcessList(ProcessList),
-    /// The machines of all proxies: from a registry to the store of its machine, which keeps them, and from that store to a
-    /// registry that has started.
+    /// The machines of all proxies: from a registry to the store on its machine, which persists them, and from that store to a
+    /// restarted registry.
     KnownProxies(Vec<String>),
-    /// From a proxy to all registries: what it has seen of the rollouts that are under way.
+    /// From a proxy to all registries: its observations of the rollouts in progress.
     RolloutReports(Vec<RolloutReport>),
-    /// To a proxy: what it may send to new versions.
+    /// To a proxy: the traffic that it may send to new versions.
     RolloutPermits(Vec<RolloutPermit>),
 }
 
@@ -276,8 +277,8 @@
     }
 
     /// The reply of anti-entropy to another replica's parts, unless the exchange has ended.
-    pub fn sync_reply(items: &ItemSet, realm: u8, theirs: &[SyncPart]) -> Option<PeerMessage> {
-        let reply = items.sync_reply(theirs);
+    pub fn sync_reply(items: &ItemSet, realm: u8, peer_parts: &[SyncPart]) -> Option<PeerMessage> {
+        let reply = items.sync_reply(peer_parts);
         (!reply.is_empty()).then_some(PeerMessage::Sync { realm, items: reply.items, parts: reply.parts })
     }
 }
--- a/crates/peer-link/src/query.rs
+++ b/crates/peer-link/src/query.rs
@@ -1,4 +1,4 @@
-//! One short connection to a process: introduces the caller, asks for metrics and more, and ends.
+//! Requests the metrics of a process, and optionally the items of a registry, on a short-lived connection.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -13,27 +13,27 @@
 use crate::codec::{self, CodecError, Decoder, GREETING};
 use crate::message::{Hello, Metric, PeerMessage, ProcessList, Role, RUNTIME_REALM};
 
-/// Why a query has no result.
+/// Why a query failed.
 #[derive(Debug, Error)]
 pub enum QueryError {
-    /// The connection did not come up, or broke.
+    /// The connection could not be established, or failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// What arrived is no message.
+    /// Malformed bytes arrived.
     #[error(transparent)]
     Malformed(#[from] CodecError),
-    /// The process ended the connection, or sent too much.
-    #[error("no answer came")]
+    /// The process closed the connection without a complete answer, or exceeded [`Query::max_bytes`].
+    #[error("no complete answer was received")]
     Unanswered,
-    /// It took too long.
-    #[error("no answer came in time")]
+    /// The caller's timeout expired.
+    #[error("no answer within the timeout")]
     TimedOut,
 }
 
-/// What a process has answered.
+/// The answers of a process.
 #[derive(Debug, Clone)]
 pub struct ProcessReport {
-    /// The process.
+    /// How the process identified itself.
     pub hello: Hello,
     /// Its metrics.
     pub metrics: Vec<Metric>,
@@ -41,40 +41,40 @@
     pub process_list: Option<ProcessList>,
     /// From a registry, if requested: the items of servers and nodes.
     pub items: Vec<Item>,
-    /// Bytes in both directions.
+    /// The number of bytes transferred in both directions.
     pub bytes: u64,
 }
 
 impl ProcessReport {
-    /// The value of one of its metrics.
+    /// The value of a metric.
     pub fn metric(&self, name: &str) -> Option<f64> {
         self.metrics.iter().find(|metric| metric.name == name).map(|metric| metric.value)
     }
 }
 
-/// What is asked of a process.
+/// The parameters of a query.
 #[derive(Debug, Clone, Copy)]
 pub struct Query {
-    /// The program that is expected at the address.
+    /// The program that is expected to listen on the address.
     pub role: Role,
-    /// Whether a registry is asked for its items of servers and nodes as well.
+    /// Whether to request the items of servers and nodes from a registry as well.
     pub with_servers: bool,
-    /// No more bytes are transferred, in both directions together.
+    /// The query fails once more bytes were transferred in both directions together.
     pub max_bytes: u64,
 }
 
-/// What has arrived so far.
+/// The answers that have arrived so far.
 #[derive(Default)]
 struct PartialReport {
     hello: Option<Hello>,
     process_list: Option<ProcessList>,
     items: ItemSet,
-    /// The next request of anti-entropy, unless all items have arrived.
+    /// The next request of anti-entropy; `None` once all items have arrived.
     next_request: Option<PeerMessage>,
 }
 
 impl PartialReport {
-    /// Takes a message; returns the metrics, which are the last answer to each round of requests.
+    /// Handles a message; returns the metrics, which are the last answer to each round of requests.
     fn receive(&mut self, message: PeerMessage) -> Option<Vec<Metric>> {
         match message {
             PeerMessage::Hello(hello) => self.hello = Some(hello),
@@ -91,10 +91,10 @@
     }
 }
 
-/// Queries the process at an address. `own` introduces the caller. Cancelling closes the connection.
+/// Queries the process at an address. `own` identifies the caller. Cancelling the future closes the connection.
 ///
 /// # Errors
-/// If the connection fails, or if the process does not answer all that was asked.
+/// If the connection fails, or if the process does not answer all requests.
 pub async fn query(address: SocketAddrV4, own: &Hello, query: Query) -> Result<ProcessReport, QueryError> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
