--- a/crates/proxy/tests/attempt_outcome.rs
+++ b/crates/proxy/tests/attempt_outcome.rs
@@ -1,7 +1,7 @@
-//! What follows from each kind of answer.
+//! Tests of how each class of response is handled.
 
 use googletest::prelude::*;
-use pinerelay_proxy::attempt_outcome::{AttemptOutcome, ConnectionFate, ResponseUse};
+use pinerelay_proxy::attempt_outcome::{AttemptOutcome, ConnectionDisposition, ResponseDisposition};
 use pinerelay_proxy::response_class::ResponseClass;
 
 const ALL: [ResponseClass; 5] = [
@@ -17,33 +17,47 @@
     for class in ALL {
         for is_idempotent in [false, true] {
             let clean = AttemptOutcome::new(class, is_idempotent, true);
-            let left = AttemptOutcome::new(class, is_idempotent, false);
+            let unclean = AttemptOutcome::new(class, is_idempotent, false);
             let is_untrusted = class == ResponseClass::Untrusted;
             expect_that!(
                 clean.connection,
-                eq(if is_untrusted { ConnectionFate::Distrusted } else { ConnectionFate::Reused }),
+                eq(if is_untrusted {
+                    ConnectionDisposition::Distrusted
+                } else {
+                    ConnectionDisposition::Reused
+                }),
                 "{class:?}"
             );
             expect_that!(
-                left.connection,
-                eq(if is_untrusted { ConnectionFate::Distrusted } else { ConnectionFate::Closed }),
+                unclean.connection,
+                eq(if is_untrusted {
+                    ConnectionDisposition::Distrusted
+                } else {
+                    ConnectionDisposition::Closed
+                }),
+                "{class:?}"
+            );
+            expect_that!(
+                (clean.outcome, clean.response),
+                eq((unclean.outcome, unclean.response)),
                 "{class:?}"
             );
-            expect_that!((clean.outcome, clean.response), eq((left.outcome, left.response)), "{class:?}");
             expect_that!((clean.outcome, clean.execution), eq((class.outcome(), class.execution())));
         }
     }
 }
 
 #[gtest]
-fn a_client_gets_a_servers_own_answer_and_a_failure_at_once_only_if_no_other_may_be_asked() {
+fn clients_get_answers_and_a_server_error_at_once_only_without_a_further_attempt() {
     let reply = |class, is_idempotent| AttemptOutcome::new(class, is_idempotent, true).response;
     for is_idempotent in [false, true] {
-        expect_that!(reply(ResponseClass::Answer, is_idempotent), eq(ResponseUse::Client));
-        for none in [ResponseClass::NotExecuted, ResponseClass::Misdirected, ResponseClass::Untrusted] {
-            expect_that!(reply(none, is_idempotent), eq(ResponseUse::Dropped));
+        expect_that!(reply(ResponseClass::Answer, is_idempotent), eq(ResponseDisposition::Client));
+        for dropped_class in
+            [ResponseClass::NotExecuted, ResponseClass::Misdirected, ResponseClass::Untrusted]
+        {
+            expect_that!(reply(dropped_class, is_idempotent), eq(ResponseDisposition::Dropped));
         }
     }
-    expect_that!(reply(ResponseClass::ServerError, false), eq(ResponseUse::Client));
-    expect_that!(reply(ResponseClass::ServerError, true), eq(ResponseUse::Fallback));
+    expect_that!(reply(ResponseClass::ServerError, false), eq(ResponseDisposition::Client));
+    expect_that!(reply(ResponseClass::ServerError, true), eq(ResponseDisposition::Fallback));
 }
--- a/crates/proxy/tests/forwarded_request.rs
+++ b/crates/proxy/tests/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! The boundary in front of the servers: what is built, and that each thing changed on the way is found by its check.
+//! Tests of forwarded requests: which headers are built, and that each check detects a deviation from the received request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use pinerelay_traffic::http::Sent;
 use pinerelay_traffic::ports::Payload;
 
-const WAIT: Duration = Duration::from_millis(250);
+const TIME_LIMIT: Duration = Duration::from_millis(250);
 
 fn parts(headers: &[(&str, &str)]) -> Parts {
     let mut request = Request::builder().method("POST").uri("/x/y?z=1");
@@ -26,7 +26,7 @@
     request.body(()).expect("a request").into_parts().0
 }
 
-const SENT: [(&str, &str); 4] =
+const REQUEST_HEADERS: [(&str, &str); 4] =
     [("host", "a.example"), ("x-request-id", "1"), ("x-deadline-ms", "250"), ("x-credential", "k")];
 
 fn tenant(name: &str, key: &str) -> Arc<Tenant> {
@@ -34,24 +34,24 @@
 }
 
 fn received(tenant: Option<&Arc<Tenant>>) -> std::result::Result<ReceivedRequest, ForwardingViolation> {
-    let head = RequestHead::parse(&parts(&SENT)).expect("a head");
-    ReceivedRequest::new(Method::POST, &head, tenant, WAIT, BodyFraming::Length(4))
+    let head = RequestHead::parse(&parts(&REQUEST_HEADERS)).expect("a head");
+    ReceivedRequest::new(Method::POST, &head, tenant, TIME_LIMIT, BodyFraming::Length(4))
 }
 
 fn body() -> Sent {
     Bytes::from_static(b"body").into()
 }
 
-fn built(sent: &[(&str, &str)]) -> Request<Sent> {
+fn build(sent: &[(&str, &str)]) -> Request<Sent> {
     let received = received(Some(&tenant("mine", "k"))).expect("received");
     let forwarded = ForwardedRequest::new(received, parts(sent).headers);
     let request = forwarded.attempt(body(), HeaderValue::from_static("i-1"), 240);
-    request.map_err(|rejected| rejected.violation).expect("no breach")
+    request.map_err(|rejected| rejected.violation).expect("no violation")
 }
 
 #[gtest]
-fn the_key_and_what_the_client_says_of_tenant_and_server_never_go_on() {
-    let more = [
+fn the_api_key_and_client_supplied_internal_headers_are_not_forwarded() {
+    let extra = [
         ("connection", "x-mine, x-request-id, host, close"),
         ("x-mine", "1"),
         ("x-tenant", "other"),
@@ -61,21 +61,21 @@
         ("x-kept", "2"),
         ("expect", "100-continue"),
     ];
-    let sent: Vec<_> = SENT.into_iter().chain(more).collect();
-    let request = built(&sent);
+    let sent: Vec<_> = REQUEST_HEADERS.into_iter().chain(extra).collect();
+    let request = build(&sent);
     let headers = request.headers();
     let mut names: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
     names.sort_unstable();
-    let wanted =
+    let expected =
         ["content-length", "host", "x-deadline-ms", "x-expect-server", "x-kept", "x-request-id", "x-tenant"];
-    expect_that!(names, container_eq(wanted));
+    expect_that!(names, container_eq(expected));
     expect_that!(headers[TENANT].to_str(), ok(eq(&"mine")));
     expect_that!(headers[EXPECT_SERVER].to_str(), ok(eq(&"i-1")));
     expect_that!(headers.get_all("x-kept").iter().count(), eq(2));
 }
 
 #[gtest]
-fn a_tenant_that_cant_be_written_or_does_not_hold_the_key_is_an_error() {
+fn a_tenant_with_an_invalid_header_value_or_without_the_key_is_an_error() {
     for name in ["t\n", "t\u{7f}", "", " t", "t\t"] {
         expect_that!(
             received(Some(&tenant(name, "k"))).err(),
@@ -84,18 +84,18 @@
         );
     }
     expect_that!(received(Some(&tenant("mine", "other"))).err(), some(eq(ForwardingViolation::Tenant)));
-    // What is no ASCII goes as the bytes of the name.
+    // A name that is not ASCII is forwarded as its UTF-8 bytes.
     let accented = received(Some(&tenant("t\u{e9}", "k"))).expect("received");
     expect_that!(accented.tenant.as_ref().map(HeaderValue::as_bytes), some(eq("t\u{e9}".as_bytes())));
     expect_that!(received(None).is_ok(), eq(true));
 }
 
 #[gtest]
-fn each_check_finds_what_it_is_named_for() {
+fn each_check_detects_its_violation() {
     let tenant = tenant("mine", "k");
     let received = received(Some(&tenant)).expect("received");
     let check = |change: &dyn Fn(&mut Request<Sent>)| {
-        let mut request = built(&SENT);
+        let mut request = build(&REQUEST_HEADERS);
         change(&mut request);
         received.check(&request)
     };
@@ -116,7 +116,7 @@
     };
     expect_that!(check(&|_| ()), ok(eq(())));
     type Change = Box<dyn Fn(&mut Request<Sent>)>;
-    let broken: Vec<(ForwardingViolation, Change)> = vec![
+    let violations: Vec<(ForwardingViolation, Change)> = vec![
         (ForwardingViolation::RequestId, Box::new(set(REQUEST_ID, "2"))),
         (ForwardingViolation::RequestId, Box::new(add(REQUEST_ID, "1"))),
         (ForwardingViolation::RequestId, Box::new(drop(REQUEST_ID))),
@@ -145,15 +145,15 @@
         (ForwardingViolation::Deadline, Box::new(drop(DEADLINE))),
         (ForwardingViolation::ExpectServer, Box::new(drop(EXPECT_SERVER))),
     ];
-    for (breach, change) in broken {
-        expect_that!(check(&*change), err(eq(breach)));
+    for (expected_violation, change) in violations {
+        expect_that!(check(&*change), err(eq(expected_violation)));
     }
     let open = ReceivedRequest { tenant: None, ..received.clone() };
-    expect_that!(open.check(&built(&SENT)), err(eq(ForwardingViolation::Tenant)));
+    expect_that!(open.check(&build(&REQUEST_HEADERS)), err(eq(ForwardingViolation::Tenant)));
 }
 
 #[gtest]
-fn a_body_keeps_the_framing_that_it_came_with() {
+fn the_framing_follows_the_received_body_and_headers() {
     let empty = Payload::Whole(Bytes::new());
     let with = |name: HeaderName, value: &'static str| {
         HeaderMap::from_iter([(name, HeaderValue::from_static(value))])
@@ -161,6 +161,6 @@
     expect_that!(BodyFraming::of(&empty, &HeaderMap::new()), eq(BodyFraming::Absent));
     expect_that!(BodyFraming::of(&empty, &with(CONTENT_LENGTH, "0")), eq(BodyFraming::Length(0)));
     expect_that!(BodyFraming::of(&empty, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(0)));
-    let whole = Payload::Whole(Bytes::from_static(b"body"));
-    expect_that!(BodyFraming::of(&whole, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(4)));
+    let payload = Payload::Whole(Bytes::from_static(b"body"));
+    expect_that!(BodyFraming::of(&payload, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(4)));
 }
--- a/crates/proxy/tests/stage/mod.rs
+++ b/crates/proxy/tests/harness/mod.rs
@@ -1,6 +1,7 @@
-//! The stage: a proxy's process, a registry that tells it a configuration and servers, and servers that follow a script.
+//! Test harness: a proxy process, a fake registry that sends it a configuration and servers, and fake servers with scripted
+//! behavior.
 
-// Each test file plays with a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -17,24 +18,24 @@
 use pinerelay_peer_link::codec::{self, Decoder, GREETING};
 use pinerelay_peer_link::message::{Hello, PeerMessage, RegistryStatus, Role, LEASE_DURATION};
 
-/// What a server does with each request.
+/// The behavior of a fake server for each request.
 #[derive(Clone)]
-pub enum Does {
-    /// Sends this.
+pub enum Behavior {
+    /// Sends this response.
     Answer(String),
-    /// Takes in so many bytes, and sends as many back.
-    Long(usize),
-    /// Reads it and resets the connection.
+    /// Reads a body of this many bytes, and sends a response body of the same length.
+    LongBody(usize),
+    /// Reads the request and resets the connection.
     Reset,
-    /// Reads it and closes.
+    /// Reads the request and closes the connection.
     Close,
-    /// Reads it and says nothing.
-    Mute,
-    /// Does not listen.
+    /// Reads the request and never responds.
+    Silent,
+    /// Refuses connections: its port is closed.
     Refuse,
 }
 
-/// A server's good answer.
+/// A valid 200 response of a server.
 pub fn answer(id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -51,36 +52,38 @@
     "tenants":{"column_names":["name","revision","api_keys"],"records":[["t1",1,["key"]]]},
     "services":{"column_names":["name","revision"],"records":[["s1",1]]}}}"#;
 
-/// The requests that servers have been sent.
-pub type Seen = Arc<Mutex<Vec<String>>>;
+/// The requests received by the fake servers.
+pub type ReceivedRequests = Arc<Mutex<Vec<String>>>;
 
-/// All that a test plays with.
-pub struct Stage {
-    proxy: Child,
+/// A running proxy process with its fake registry and servers.
+pub struct TestProxy {
+    child: Child,
     folder: PathBuf,
-    /// Where it takes clients.
+    /// The address for clients.
     pub public: SocketAddrV4,
     readiness: SocketAddrV4,
     internal: SocketAddrV4,
-    seen: Seen,
+    received_requests: ReceivedRequests,
 }
 
-/// Ports that no other test of this process has; whether another process has one shows when it is taken.
-static PORT: AtomicU16 = AtomicU16::new(0);
-/// Held while ports are looked for and a program is started: until it runs, it has a copy of each socket that is open, and a
-/// port that has just been looked at is not free.
-static STARTS: Mutex<()> = Mutex::new(());
+/// The next candidate port, distinct for each test of this process; ports used by other processes are detected by binding.
+static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
+/// Held while free ports are searched and a process is started: until `exec`, a forked child holds copies of all open sockets, so
+/// a port that was just probed would still be in use.
+static START_LOCK: Mutex<()> = Mutex::new(());
 
-/// The machine of all parts of a play: another in each process, so that no other's tests take its ports.
-fn machine() -> [u8; 4] {
+/// The loopback address of all parts of a test: different in each process, so that concurrent test processes do not compete for
+/// ports.
+fn loopback_ip() -> [u8; 4] {
     let [.., high, low] = std::process::id().to_be_bytes();
     [127, 64 | high, low, 1]
 }
 
-fn ports(ip: [u8; 4], count: u16) -> u16 {
+/// Finds consecutive free ports; returns the first.
+fn free_ports(ip: [u8; 4], count: u16) -> u16 {
     loop {
-        // Below those that outgoing connections are given.
-        let first = 10_000 + PORT.fetch_add(count, Ordering::Relaxed) % 20_000;
+        // Below the ephemeral port range.
+        let first = 10_000 + NEXT_PORT.fetch_add(count, Ordering::Relaxed) % 20_000;
         let free = |port| TcpListener::bind(SocketAddr::from((ip, port))).is_ok();
         if (first..first + count).all(free) {
             return first;
@@ -88,27 +91,29 @@
     }
 }
 
-impl Stage {
-    /// A proxy that is ready, with a service of these servers.
-    pub fn with(servers: Vec<Does>) -> Stage {
-        let seen = Seen::default();
-        let addresses: Vec<SocketAddr> =
-            servers.into_iter().map(|does| serve(does, machine(), seen.clone())).collect();
-        Stage::at(&addresses, seen)
+impl TestProxy {
+    /// Starts a proxy with fake servers of these behaviors, and waits until it is ready.
+    pub fn with_servers(servers: Vec<Behavior>) -> TestProxy {
+        let received_requests = ReceivedRequests::default();
+        let addresses: Vec<SocketAddr> = servers
+            .into_iter()
+            .map(|behavior| start_server(behavior, loopback_ip(), received_requests.clone()))
+            .collect();
+        TestProxy::with_addresses(&addresses, received_requests)
     }
 
-    /// A proxy that is ready, with a service of servers at these addresses.
-    pub fn at(addresses: &[SocketAddr], seen: Seen) -> Stage {
-        let ip = machine();
+    /// Starts a proxy with servers at these addresses, and waits until it is ready.
+    pub fn with_addresses(addresses: &[SocketAddr], received_requests: ReceivedRequests) -> TestProxy {
+        let ip = loopback_ip();
         let items = items(addresses);
-        let starts = STARTS.lock().unwrap_or_else(|broken| broken.into_inner());
-        let first = ports(ip, 5);
+        let start_lock = START_LOCK.lock().unwrap_or_else(|broken| broken.into_inner());
+        let first = free_ports(ip, 5);
         let at = |n: u16| SocketAddrV4::new(ip.into(), first + n);
         let registry = TcpListener::bind(at(0)).expect("a free port");
         thread::spawn(move || {
             for stream in registry.incoming().flatten() {
                 let items = items.clone();
-                thread::spawn(move || tell(stream, &items));
+                thread::spawn(move || serve_registry(stream, &items));
             }
         });
         let folder = std::env::temp_dir().join(format!("proxy-{}-{first}", std::process::id()));
@@ -124,39 +129,40 @@
             at(4)
         );
         std::fs::write(&file, settings).expect("a settings file");
-        let proxy = Command::new(env!("CARGO_BIN_EXE_proxy"))
+        let child = Command::new(env!("CARGO_BIN_EXE_proxy"))
             .args(["--log=error", "--settings"])
             .arg(&file)
             .spawn()
             .expect("the program");
-        drop(starts);
-        let stage = Stage { proxy, folder, public: at(3), readiness: at(4), internal: at(2), seen };
-        stage.until(Stage::ready);
-        stage
+        drop(start_lock);
+        let test_proxy =
+            TestProxy { child, folder, public: at(3), readiness: at(4), internal: at(2), received_requests };
+        test_proxy.wait_until(TestProxy::is_ready);
+        test_proxy
     }
 
-    /// Looks again and again until that is so.
-    pub fn until(&self, is: impl Fn(&Stage) -> bool) {
+    /// Waits until a condition holds; panics after 20 s.
+    pub fn wait_until(&self, condition: impl Fn(&TestProxy) -> bool) {
         let begun = Instant::now();
-        while !is(self) {
-            assert!(begun.elapsed() < Duration::from_secs(20), "it never came to that");
+        while !condition(self) {
+            assert!(begun.elapsed() < Duration::from_secs(20), "condition not reached in time");
             thread::yield_now();
         }
     }
 
-    /// Whether it says that it is ready.
-    pub fn ready(&self) -> bool {
+    /// Whether the readiness endpoint reports ready.
+    pub fn is_ready(&self) -> bool {
         exchange(self.readiness, b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             .starts_with("HTTP/1.1 200")
     }
 
-    /// One request on a connection of its own, and all that comes back until it closes or is whole.
-    pub fn ask(&self, request: &str) -> String {
+    /// Sends a request on a new connection; returns the bytes received until the response is complete or the connection is closed.
+    pub fn send_request(&self, request: &str) -> String {
         exchange(self.public, request.as_bytes())
     }
 
-    /// A head, then so many bytes; the answer's first line, and how long its body is.
-    pub fn long(&self, head: &str, bytes: usize) -> (String, usize) {
+    /// Sends a head and a body of `bytes` bytes; returns the response head, and the length of its body.
+    pub fn exchange_long_body(&self, head: &str, bytes: usize) -> (String, usize) {
         let mut stream = TcpStream::connect(self.public).expect("a connection");
         stream.write_all(head.as_bytes()).expect("written");
         let mut reader = stream.try_clone().expect("a clone");
@@ -168,86 +174,87 @@
                 }
             }
         });
-        let mut got = Vec::new();
+        let mut received = Vec::new();
         let mut buffer = vec![0_u8; 64 * 1024];
         let mut end = None;
-        while end.is_none_or(|end: usize| got.len() < end + bytes) {
+        while end.is_none_or(|end: usize| received.len() < end + bytes) {
             match reader.read(&mut buffer) {
-                Ok(n @ 1..) => got.extend_from_slice(&buffer[..n]),
+                Ok(n @ 1..) => received.extend_from_slice(&buffer[..n]),
                 _ => break,
             }
-            end = end.or_else(|| got.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4));
+            end = end.or_else(|| received.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4));
         }
         writer.join().expect("the writer");
-        let head = String::from_utf8_lossy(&got[..end.unwrap_or(0)]).into_owned();
-        (head, got.len() - end.unwrap_or(0))
+        let head = String::from_utf8_lossy(&received[..end.unwrap_or(0)]).into_owned();
+        (head, received.len() - end.unwrap_or(0))
     }
 
-    /// The heads that servers have been sent, and the bodies behind them as far as they came along.
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().expect("a lock").clone()
+    /// The requests received by the fake servers: the heads, and the bodies as far as they were read with them.
+    pub fn received_requests(&self) -> Vec<String> {
+        self.received_requests.lock().expect("a lock").clone()
     }
 
-    /// What the proxy has held of memory at most, in MiB.
-    pub fn peak_mb(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.proxy.id())).unwrap_or_default();
+    /// The peak resident memory of the proxy, in MiB.
+    pub fn peak_memory_mb(&self) -> usize {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find(|line| line.starts_with("VmHWM")).unwrap_or_default();
         line.split_whitespace().nth(1).and_then(|kb| kb.parse::<usize>().ok()).unwrap_or(usize::MAX) / 1024
     }
 
-    /// Bytes on the internal port.
-    pub fn noise(&self, bytes: &[u8]) {
+    /// Sends bytes to the internal port of the proxy.
+    pub fn send_to_internal_port(&self, bytes: &[u8]) {
         if let Ok(mut stream) = TcpStream::connect(self.internal) {
             let _ = stream.write_all(bytes);
         }
     }
 
-    /// Tells it to end as planned.
+    /// Sends SIGTERM to the proxy.
     pub fn terminate(&self) {
-        let ended = Command::new("kill").args(["-TERM", &self.proxy.id().to_string()]).status();
+        let ended = Command::new("kill").args(["-TERM", &self.child.id().to_string()]).status();
         assert!(ended.is_ok_and(|status| status.success()));
     }
 
-    /// How it ended.
+    /// Waits for the proxy to exit; returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        self.proxy.wait().ok().and_then(|status| status.code())
+        self.child.wait().ok().and_then(|status| status.code())
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestProxy {
     fn drop(&mut self) {
-        let _ = self.proxy.kill();
-        let _ = self.proxy.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
+/// Sends a request on a new connection; returns the bytes received until the response is complete or the connection is closed.
 fn exchange(to: SocketAddrV4, request: &[u8]) -> String {
     let Ok(mut stream) = TcpStream::connect(to) else { return String::new() };
     stream.set_read_timeout(Some(Duration::from_secs(6))).expect("a time-out");
     if stream.write_all(request).is_err() {
         return String::new();
     }
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut buffer = [0_u8; 4096];
     while let Ok(n @ 1..) = stream.read(&mut buffer) {
-        got.extend_from_slice(&buffer[..n]);
-        if whole(&got) {
+        received.extend_from_slice(&buffer[..n]);
+        if is_complete_message(&received) {
             break;
         }
     }
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// Whether that is a whole message with a length.
-pub fn whole(got: &[u8]) -> bool {
-    let text = String::from_utf8_lossy(got).to_lowercase();
+/// Whether the bytes are a complete HTTP message with `Content-Length`.
+pub fn is_complete_message(received: &[u8]) -> bool {
+    let text = String::from_utf8_lossy(received).to_lowercase();
     let Some(end) = text.find("\r\n\r\n") else { return false };
     let length = text[..end].lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
     length.is_some_and(|length: usize| text.len() >= end + 4 + length)
 }
 
-/// A server of the service, which is ready.
+/// A ready server of the service `s1`.
 pub fn server(address: SocketAddrV4) -> Server {
     Server {
         service: "s1".into(),
@@ -269,11 +276,11 @@
     items
 }
 
-/// Plays a registry on one connection.
-fn tell(mut stream: TcpStream, items: &[Item]) {
-    let ip = std::net::Ipv4Addr::from(machine()).to_string();
+/// Acts as the registry on one connection.
+fn serve_registry(mut stream: TcpStream, items: &[Item]) {
+    let ip = std::net::Ipv4Addr::from(loopback_ip()).to_string();
     let hello = Hello { node: "core-1".into(), ip: ip.clone(), role: Role::Registry, process_id: 1 };
-    let current = RegistryStatus {
+    let registry_status = RegistryStatus {
         registries: vec![ip.clone()],
         voters: vec![ip],
         epoch: 1,
@@ -289,7 +296,7 @@
     for message in [
         PeerMessage::Hello(hello),
         PeerMessage::Update(items.to_vec()),
-        PeerMessage::RegistryStatus(current),
+        PeerMessage::RegistryStatus(registry_status),
         PeerMessage::Digests([item_set.digest(), 0]),
     ] {
         out.extend_from_slice(&codec::encode(&message));
@@ -297,17 +304,21 @@
     if stream.write_all(&out).is_err() {
         return;
     }
-    // Says something now and then, for as long as the proxy does.
-    let mut come = Decoder::default();
+    // Replies to each read with a keep-alive, and confirms that the configuration is current when asked.
+    let mut decoder = Decoder::default();
     let mut buffer = [0_u8; 4096];
     while let Ok(n @ 1..) = stream.read(&mut buffer) {
-        come.read_buffer().extend_from_slice(&buffer[..n]);
+        decoder.read_buffer().extend_from_slice(&buffer[..n]);
         let mut out = codec::encode(&PeerMessage::KeepAlive).to_vec();
-        while let Ok(Some(heard)) = come.next_message() {
-            if let PeerMessage::ConfirmCurrent(asked) = heard {
+        while let Ok(Some(received_message)) = decoder.next_message() {
+            if let PeerMessage::ConfirmCurrent(requested_at) = received_message {
                 let digest = item_set.digest();
-                let confirmed =
-                    PeerMessage::Current { asked_at: asked, epoch: 1, digest, lease_left: LEASE_DURATION };
+                let confirmed = PeerMessage::Current {
+                    asked_at: requested_at,
+                    epoch: 1,
+                    digest,
+                    lease_left: LEASE_DURATION,
+                };
                 out.extend_from_slice(&codec::encode(&confirmed));
             }
         }
@@ -317,37 +328,38 @@
     }
 }
 
-/// A server that follows its script, one thread a connection.
-fn serve(does: Does, ip: [u8; 4], seen: Seen) -> SocketAddr {
+/// Starts a fake server, with one thread for each connection; returns its address.
+fn start_server(behavior: Behavior, ip: [u8; 4], received_requests: ReceivedRequests) -> SocketAddr {
     let listener = TcpListener::bind(SocketAddr::from((ip, 0))).expect("a free port");
     let address = listener.local_addr().expect("an address");
-    if matches!(does, Does::Refuse) {
+    if matches!(behavior, Behavior::Refuse) {
         return address;
     }
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (does, seen) = (does.clone(), seen.clone());
-            thread::spawn(move || converse(stream, &does, &seen));
+            let (behavior, received_requests) = (behavior.clone(), received_requests.clone());
+            thread::spawn(move || serve_connection(stream, &behavior, &received_requests));
         }
     });
     address
 }
 
-fn converse(mut stream: TcpStream, does: &Does, seen: &Seen) {
-    let mut got = Vec::new();
+/// Serves one connection of a fake server.
+fn serve_connection(mut stream: TcpStream, behavior: &Behavior, received_requests: &ReceivedRequests) {
+    let mut received = Vec::new();
     let mut buffer = vec![0_u8; 64 * 1024];
     loop {
         match stream.read(&mut buffer) {
-            Ok(n @ 1..) => got.extend_from_slice(&buffer[..n]),
+            Ok(n @ 1..) => received.extend_from_slice(&buffer[..n]),
             _ => return,
         }
-        if let (Does::Long(bytes), Some(end)) =
-            (does, got.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4))
+        if let (Behavior::LongBody(bytes), Some(end)) =
+            (behavior, received.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4))
         {
-            let mut come = got.len() - end;
-            while come < *bytes {
+            let mut body_length = received.len() - end;
+            while body_length < *bytes {
                 match stream.read(&mut buffer) {
-                    Ok(n @ 1..) => come += n,
+                    Ok(n @ 1..) => body_length += n,
                     _ => return,
                 }
             }
@@ -359,25 +371,26 @@
                     return;
                 }
             }
-            got.clear();
+            received.clear();
             continue;
         }
-        let ends = whole(&got) || got.ends_with(b"\r\n\r\n") && got.starts_with(b"GET");
-        if !ends {
+        let has_full_request =
+            is_complete_message(&received) || received.ends_with(b"\r\n\r\n") && received.starts_with(b"GET");
+        if !has_full_request {
             continue;
         }
-        seen.lock().expect("a lock").push(String::from_utf8_lossy(&got).into_owned());
-        got.clear();
-        match does {
-            Does::Answer(text) if stream.write_all(text.as_bytes()).is_ok() => {
-                // One that says more than it sends has gone.
-                if !whole(text.as_bytes()) {
+        received_requests.lock().expect("a lock").push(String::from_utf8_lossy(&received).into_owned());
+        received.clear();
+        match behavior {
+            Behavior::Answer(text) if stream.write_all(text.as_bytes()).is_ok() => {
+                // After a response that is shorter than its `Content-Length`, the server closes the connection.
+                if !is_complete_message(text.as_bytes()) {
                     return;
                 }
             }
-            Does::Mute => {}
-            Does::Reset => {
-                // Bytes that lie unread make a close a reset.
+            Behavior::Silent => {}
+            Behavior::Reset => {
+                // With zero linger, closing the socket sends a reset.
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 return;
             }
--- a/crates/proxy/tests/recorder/mod.rs
+++ b/crates/proxy/tests/recorder/mod.rs
@@ -1,6 +1,6 @@
-//! A server that writes down all bytes of each of its connections, and answers as a script says.
+//! A fake server that records all bytes received on each connection, and responds according to a script.
 
-// Each test file plays with a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -10,39 +10,39 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// When a server answers.
+/// When the server responds to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum When {
-    /// As soon as it has the head, and then reads on.
-    RequestHead,
-    /// Once it has all.
-    Whole,
-    /// Once it has all, and has worked for so long.
-    Worked(Duration),
+pub enum ResponseTiming {
+    /// As soon as the head is received; the body is read afterwards.
+    AfterHead,
+    /// Once the request is received completely.
+    AfterRequest,
+    /// This long after the request was received completely.
+    AfterDelay(Duration),
     /// Never.
     Never,
 }
 
-/// What a server says to a request, by its head.
-pub type Script = fn(&str) -> (When, String);
+/// Chooses the timing and the bytes of the response by the request head.
+pub type Script = fn(&str) -> (ResponseTiming, String);
 
-/// A server and what it has got.
+/// A fake server and the bytes that it has received.
 pub struct Recorder {
-    /// Where it is.
+    /// The address of the server.
     pub address: SocketAddr,
     connections: Arc<Mutex<Vec<Vec<u8>>>>,
     closed: Arc<AtomicUsize>,
 }
 
 impl Recorder {
-    /// A server with this script.
+    /// Starts a server with this script.
     pub fn new(script: Script) -> Recorder {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let connections = Arc::new(Mutex::new(Vec::new()));
         let all = connections.clone();
         let closed = Arc::new(AtomicUsize::new(0));
-        let ended = closed.clone();
+        let closed_count = closed.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let all = all.clone();
@@ -51,46 +51,46 @@
                     all.push(Vec::new());
                     all.len() - 1
                 };
-                let ended = ended.clone();
+                let closed_count = closed_count.clone();
                 thread::spawn(move || {
-                    converse(stream, script, &all, number);
-                    ended.fetch_add(1, Ordering::SeqCst);
+                    serve_connection(stream, script, &all, number);
+                    closed_count.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
         Recorder { address, connections, closed }
     }
 
-    /// The bytes of each connection so far, as text.
+    /// The bytes received so far on each connection, as text.
     pub fn connections(&self) -> Vec<String> {
         let all = self.connections.lock().expect("a lock");
         all.iter().map(|bytes| String::from_utf8_lossy(bytes).into_owned()).collect()
     }
 
-    /// Looks until that is so of what has come, and gives it.
-    pub fn until(&self, is: impl Fn(&[String]) -> bool) -> Vec<String> {
+    /// Waits until the received bytes satisfy a condition, for at most 10 s; returns them.
+    pub fn wait_until(&self, condition: impl Fn(&[String]) -> bool) -> Vec<String> {
         let begun = Instant::now();
         loop {
             let all = self.connections();
-            if is(&all) || begun.elapsed() > Duration::from_secs(10) {
+            if condition(&all) || begun.elapsed() > Duration::from_secs(10) {
                 return all;
             }
             thread::yield_now();
         }
     }
 
-    /// How many connections have ended.
+    /// The number of closed connections.
     pub fn closed(&self) -> usize {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// How many requests have begun on each connection.
+    /// The number of requests started on each connection.
     pub fn requests(&self) -> Vec<usize> {
         self.connections().iter().map(|bytes| bytes.matches(" HTTP/1.1\r\n").count()).collect()
     }
 }
 
-/// The value of a header of a head.
+/// Returns the value of a header.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().skip(1).find_map(|line| {
         let (found, value) = line.split_once(": ")?;
@@ -98,8 +98,8 @@
     })
 }
 
-/// Where the request at the start of these bytes ends, if all of it is there.
-fn end_of(head_end: usize, head: &str, bytes: &[u8]) -> Option<usize> {
+/// Returns the end of the request at the start of the bytes, if it was received completely.
+fn request_end(head_end: usize, head: &str, bytes: &[u8]) -> Option<usize> {
     if header(head, "transfer-encoding").is_some() {
         let at = bytes[head_end..].windows(5).position(|five| five == b"0\r\n\r\n")?;
         return Some(head_end + at + 5);
@@ -108,33 +108,34 @@
     (bytes.len() >= head_end + length).then_some(head_end + length)
 }
 
-fn converse(mut stream: TcpStream, script: Script, all: &Mutex<Vec<Vec<u8>>>, number: usize) {
+/// Serves one connection.
+fn serve_connection(mut stream: TcpStream, script: Script, all: &Mutex<Vec<Vec<u8>>>, number: usize) {
     let mut buffer = vec![0_u8; 1024];
-    let mut open: Vec<u8> = Vec::new();
+    let mut unparsed: Vec<u8> = Vec::new();
     let mut answered = false;
     while let Ok(n @ 1..) = stream.read(&mut buffer) {
-        open.extend_from_slice(&buffer[..n]);
+        unparsed.extend_from_slice(&buffer[..n]);
         all.lock().expect("a lock")[number].extend_from_slice(&buffer[..n]);
-        while let Some(at) = open.windows(4).position(|four| four == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&open[..at + 4]).into_owned();
-            let (when, answer) = script(&head);
-            let end = end_of(at + 4, &head, &open);
-            let due = match when {
-                When::RequestHead => true,
-                When::Whole | When::Worked(_) => end.is_some(),
-                When::Never => false,
+        while let Some(at) = unparsed.windows(4).position(|four| four == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&unparsed[..at + 4]).into_owned();
+            let (timing, answer) = script(&head);
+            let end = request_end(at + 4, &head, &unparsed);
+            let is_due = match timing {
+                ResponseTiming::AfterHead => true,
+                ResponseTiming::AfterRequest | ResponseTiming::AfterDelay(_) => end.is_some(),
+                ResponseTiming::Never => false,
             };
-            if !answered && due {
+            if !answered && is_due {
                 answered = true;
-                if let When::Worked(time) = when {
-                    thread::sleep(time);
+                if let ResponseTiming::AfterDelay(delay) = timing {
+                    thread::sleep(delay);
                 }
                 if stream.write_all(answer.as_bytes()).is_err() {
                     return;
                 }
             }
             let Some(end) = end else { break };
-            open.drain(..end);
+            unparsed.drain(..end);
             answered = false;
         }
     }
--- a/crates/proxy/tests/request_handler.rs
+++ b/crates/proxy/tests/request_handler.rs
@@ -1,10 +1,11 @@
-//! Requests that the handler turns away, or whose table changes, never leave anything on a server that was not sent to it.
+//! Requests that the handler rejects are not forwarded, in whole or in part, and a change of the routing table does not affect a
+//! request whose head was already received.
 //!
-//! The handler serves loopback connections in this process, so that a test decides what is in force, who is admitted and how
-//! much memory there is.
+//! The handler serves loopback connections in this process, so that a test controls the routing table, admission and the memory
+//! limit.
 
+mod harness;
 mod recorder;
-mod stage;
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -29,19 +30,19 @@
 use pinerelay_traffic::room::Room;
 use pinerelay_traffic::vigil::Vigil;
 use pinerelay_traffic::Common;
-use recorder::{header, Recorder, When};
+use recorder::{header, Recorder, ResponseTiming};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
 const HEAD: &str = "Host: a.example\r\nX-Deadline-Ms: 3000\r\nX-Credential: key\r\n";
-/// Bytes that are declared of a body too long to be read ahead.
-const LONG: usize = 200_000;
-/// How long an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// The declared length of a body that is too long to be buffered.
+const LONG_BODY_LENGTH: usize = 200_000;
+/// How long a test waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 const MEMORY_MB: usize = 64;
 
-/// Answers the same to all requests.
+/// Returns the same admission for all requests.
 struct FixedAdmitter(Cell<Admission>);
 
 impl Admitter for FixedAdmitter {
@@ -52,7 +53,7 @@
     fn cancel(&self, _: &str, _: RequestId) {}
 }
 
-/// A handler behind a listener.
+/// A request handler behind a listener.
 struct Proxy {
     address: SocketAddr,
     handler: Rc<RequestHandler>,
@@ -60,7 +61,7 @@
     _gate: Rc<Gate>,
 }
 
-/// One route, to this service, and one tenant, which holds the key.
+/// A routing table with one route, to this service, and one tenant, which owns the key.
 fn table(service: &str, tenant: &str) -> Arc<RoutingTable> {
     let call = format!(
         r#"{{"upsert":{{
@@ -76,18 +77,18 @@
 
 fn server_of(service: &str, recorder: &Recorder) -> Server {
     let SocketAddr::V4(address) = recorder.address else { panic!("a loopback address") };
-    Server { service: service.into(), ..stage::server(address) }
+    Server { service: service.into(), ..harness::server(address) }
 }
 
 impl Proxy {
-    /// A proxy with one route to `first`, which may be given one to `second`.
+    /// Starts a proxy with a route to the service `first`; the servers of `first` and `second` are known.
     async fn start(memory_mb: usize, first: &Recorder, second: &Recorder) -> Proxy {
         let room = Room::of(memory_mb);
         let common = Common { budget: Budget::new(1_000, 10, 0.5), room: room.clone(), vigil: Vigil::new() };
         let clock = Rc::new(Clock::new());
         let servers = ServerPool::new(common.clone(), RetryBudget::new(RetryBounds::default()));
         let services = Services::new(clock.clone(), servers.clone(), "z", 1);
-        services.placed(0, 1);
+        services.set_position(0, 1);
         services.server_changed("i-1", Some(&server_of("first", first)));
         services.server_changed("i-2", Some(&server_of("second", second)));
         let admitter = Rc::new(FixedAdmitter(Cell::new(Admission::Admitted)));
@@ -103,7 +104,7 @@
         Proxy { address, handler, admitter, _gate: gate }
     }
 
-    /// A connection on which this was sent.
+    /// Opens a connection and sends these bytes.
     async fn send(&self, bytes: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).await.expect("a connection");
         stream.write_all(bytes.as_bytes()).await.expect("written");
@@ -111,10 +112,10 @@
     }
 }
 
-/// The status of the next answer; `None` if the connection is closed, or nothing comes for a while.
-async fn status(stream: &mut TcpStream, patience: Duration) -> Option<u16> {
+/// The status of the next response; `None` if the connection is closed, or nothing is received in time.
+async fn status(stream: &mut TcpStream, max_wait: Duration) -> Option<u16> {
     let mut buffer = [0_u8; 4096];
-    let read = timeout(patience, stream.read(&mut buffer)).await.ok()?.ok()?;
+    let read = timeout(max_wait, stream.read(&mut buffer)).await.ok()?.ok()?;
     let text = String::from_utf8_lossy(&buffer[..read]);
     text.split(' ').nth(1)?.parse().ok()
 }
@@ -123,73 +124,76 @@
     format!("POST /x HTTP/1.1\r\n{HEAD}X-Request-Id: {id}\r\nContent-Length: {length}\r\n\r\n")
 }
 
-/// A body of this length that ends as a request of its own.
+/// A body of this length that ends with the bytes of a request.
 fn body_with_hidden_request(length: usize) -> String {
     let hidden = head("hidden", 0);
     format!("{}{hidden}", "x".repeat(length - hidden.len()))
 }
 
-fn answering() -> Recorder {
+fn ok_server() -> Recorder {
     Recorder::new(|head| {
-        (When::Whole, stage::answer(header(head, "x-request-id").unwrap_or_default(), "hello"))
+        (
+            ResponseTiming::AfterRequest,
+            harness::answer(header(head, "x-request-id").unwrap_or_default(), "hello"),
+        )
     })
 }
 
-/// All that a server was sent.
+/// All bytes that a server has received.
 fn received(server: &Recorder) -> String {
     server.connections().concat()
 }
 
-fn play(test: impl AsyncFnOnce()) {
+fn run_local(test: impl AsyncFnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test());
 }
 
 #[gtest]
-fn a_request_keeps_the_table_that_was_in_force_at_its_head() {
-    play(async || {
-        let (first, second) = (answering(), answering());
+fn a_request_keeps_the_routing_table_that_was_active_at_its_head() {
+    run_local(async || {
+        let (first, second) = (ok_server(), ok_server());
         let proxy = Proxy::start(MEMORY_MB, &first, &second).await;
-        for body in ["b".repeat(9_000), "b".repeat(LONG)] {
+        for body in ["b".repeat(9_000), "b".repeat(LONG_BODY_LENGTH)] {
             proxy.handler.set_routing_table(table("first", "t1"));
             let (begun, rest) = body.split_at(body.len() / 2);
             let mut stream = proxy.send(&(head("r1", body.len()) + begun)).await;
-            // An answer to another request tells that the head before it has been read.
+            // The response to another request shows that the earlier head was read.
             let mut other = proxy.send(&head("other", 0)).await;
-            expect_that!(status(&mut other, PATIENCE).await, some(eq(200)));
+            expect_that!(status(&mut other, RESPONSE_TIMEOUT).await, some(eq(200)));
             let before = received(&second);
             proxy.handler.set_routing_table(table("second", "t2"));
             stream.write_all(rest.as_bytes()).await.expect("written");
-            expect_that!(status(&mut stream, PATIENCE).await, some(eq(200)));
+            expect_that!(status(&mut stream, RESPONSE_TIMEOUT).await, some(eq(200)));
             expect_that!(received(&second), eq(&before), "the service of the later table");
             let sent = received(&first).to_lowercase();
             expect_that!(sent, contains_substring("x-request-id: r1\r\n"));
             expect_that!(sent, not(contains_substring("x-tenant: t2")));
             let mut later = proxy.send(&head("later", 0)).await;
-            expect_that!(status(&mut later, PATIENCE).await, some(eq(200)));
+            expect_that!(status(&mut later, RESPONSE_TIMEOUT).await, some(eq(200)));
             expect_that!(received(&second).to_lowercase(), contains_substring("x-tenant: t2\r\n"));
         }
     });
 }
 
 #[gtest]
-fn nothing_is_sent_of_a_request_beyond_its_quota() {
-    play(async || {
-        let (first, second) = (answering(), answering());
+fn a_request_over_quota_is_not_forwarded() {
+    run_local(async || {
+        let (first, second) = (ok_server(), ok_server());
         let proxy = Proxy::start(MEMORY_MB, &first, &second).await;
         for admission in [Admission::Rejected, Admission::Deferred(500_000)] {
-            for length in [9_000, LONG] {
+            for length in [9_000, LONG_BODY_LENGTH] {
                 proxy.admitter.0.set(admission);
                 let body = body_with_hidden_request(length);
-                // A long body's 429 comes before the body.
-                let early = if length == LONG { 100 } else { length };
-                let mut stream = proxy.send(&(head("r1", length) + &body[..early])).await;
-                expect_that!(status(&mut stream, PATIENCE).await, some(eq(429)), "{length} bytes");
-                stream.write_all(&body.as_bytes()[early..]).await.expect("written");
+                // For a long body, 429 is sent before the body was received.
+                let first_part = if length == LONG_BODY_LENGTH { 100 } else { length };
+                let mut stream = proxy.send(&(head("r1", length) + &body[..first_part])).await;
+                expect_that!(status(&mut stream, RESPONSE_TIMEOUT).await, some(eq(429)), "{length} bytes");
+                stream.write_all(&body.as_bytes()[first_part..]).await.expect("written");
                 proxy.admitter.0.set(Admission::Admitted);
-                // The connection carries the next request, or ends.
+                // The connection carries the next request, or is closed.
                 let _ = stream.write_all(head("behind", 0).as_bytes()).await;
-                expect_that!(status(&mut stream, PATIENCE).await, any!(none(), some(eq(200))));
+                expect_that!(status(&mut stream, RESPONSE_TIMEOUT).await, any!(none(), some(eq(200))));
                 let sent = received(&first);
                 expect_that!(sent, not(contains_substring("r1")));
                 expect_that!(sent, not(contains_substring("hidden")));
@@ -199,43 +203,44 @@
 }
 
 #[gtest]
-fn nothing_is_sent_of_a_long_body_for_which_there_is_no_memory() {
+fn a_long_body_without_memory_is_not_forwarded() {
     const LITTLE_MEMORY_MB: usize = 2;
-    const MOST_BODIES: usize = 100;
-    play(async || {
-        let (first, second) = (answering(), answering());
+    const MAX_BODIES: usize = 100;
+    run_local(async || {
+        let (first, second) = (ok_server(), ok_server());
         let proxy = Proxy::start(LITTLE_MEMORY_MB, &first, &second).await;
-        // Long bodies of which nothing comes hold the memory.
+        // Requests whose long bodies are never sent occupy the memory.
         let mut open = Vec::new();
-        let mut refused = None;
-        while refused.is_none() && open.len() < MOST_BODIES {
+        let mut rejected = None;
+        while rejected.is_none() && open.len() < MAX_BODIES {
             let id = format!("open-{}", open.len());
-            let mut stream = proxy.send(&head(&id, LONG)).await;
+            let mut stream = proxy.send(&head(&id, LONG_BODY_LENGTH)).await;
             match status(&mut stream, Duration::from_millis(20)).await {
-                Some(status) => refused = Some((stream, id, status)),
+                Some(status) => rejected = Some((stream, id, status)),
                 None => open.push(stream),
             }
         }
-        let (mut stream, id, refusal) = refused.expect("one is refused");
-        expect_that!(refusal, eq(503));
+        let (mut stream, id, rejection_status) = rejected.expect("one request is rejected");
+        expect_that!(rejection_status, eq(503));
         expect_that!(open.len(), gt(5));
-        let body = body_with_hidden_request(LONG) + &head("behind", 0);
+        let body = body_with_hidden_request(LONG_BODY_LENGTH) + &head("behind", 0);
         let _ = stream.write_all(body.as_bytes()).await;
-        expect_that!(status(&mut stream, PATIENCE).await, any!(none(), some(eq(200))));
+        expect_that!(status(&mut stream, RESPONSE_TIMEOUT).await, any!(none(), some(eq(200))));
         let sent = received(&first);
-        let of_refused = format!("x-request-id: {id}\r\n");
-        expect_that!(sent.to_lowercase(), not(contains_substring(of_refused)));
+        let rejected_id_line = format!("x-request-id: {id}\r\n");
+        expect_that!(sent.to_lowercase(), not(contains_substring(rejected_id_line)));
         expect_that!(sent, not(contains_substring("hidden")));
-        // Once the proxy has seen that the others have gone there is memory again.
+        // The memory is released once the proxy has detected that the other clients disconnected.
         drop(open);
         let served = async {
             loop {
-                let mut after = proxy.send(&(head("after", LONG) + &"b".repeat(LONG))).await;
-                if status(&mut after, PATIENCE).await == Some(200) {
+                let mut after =
+                    proxy.send(&(head("after", LONG_BODY_LENGTH) + &"b".repeat(LONG_BODY_LENGTH))).await;
+                if status(&mut after, RESPONSE_TIMEOUT).await == Some(200) {
                     return;
                 }
             }
         };
-        expect_that!(timeout(PATIENCE, served).await, ok(anything()));
+        expect_that!(timeout(RESPONSE_TIMEOUT, served).await, ok(anything()));
     });
 }
--- a/crates/proxy/tests/subscriber.rs
+++ b/crates/proxy/tests/subscriber.rs
@@ -1,4 +1,5 @@
-//! What a proxy makes of those that are no registries, of the age of its news, and of registries that are cut off.
+//! Tests of the subscriber: peers that are not registries, the age of the replica, lease grants, and registries that are
+//! partitioned and therefore out of date.
 
 use googletest::prelude::*;
 use pinerelay_admission::lease::LeaseGrant;
@@ -15,7 +16,7 @@
 }
 
 #[gtest]
-fn one_that_looks_on_is_not_cut_and_news_are_as_old_as_the_last_digest_that_agreed() {
+fn observers_stay_connected_and_the_update_age_counts_from_the_last_equal_digest() {
     let mut subscriber = Subscriber::new(0, hello(Role::Proxy), Vec::new());
     let mut out = Vec::new();
     subscriber.receive(1, 1, PeerMessage::Hello(hello(Role::Observer)), &mut out);
@@ -25,28 +26,29 @@
     subscriber.receive(1, 3, PeerMessage::Hello(hello(Role::Registry)), &mut out);
     subscriber.receive(5_000_000, 3, PeerMessage::Digests([1, 1]), &mut out);
     expect_that!(subscriber.update_age(5_000_000), eq(5_000_000));
-    let [Output::Send(_, PeerMessage::Digests(own))] = out[1..2] else { panic!("it tells what it has") };
+    let [Output::Send(_, PeerMessage::Digests(own))] = out[1..2] else { panic!("own digests are sent") };
     subscriber.receive(6_000_000, 3, PeerMessage::Digests(own), &mut out);
     expect_that!(subscriber.update_age(6_500_000), eq(500_000));
 }
 
-fn draws(out: &[Output]) -> Vec<(u64, usize)> {
-    let draw = |output: &Output| match output {
-        Output::Send(peer, PeerMessage::LeaseRequests(asks)) => Some((*peer, asks.len())),
+fn lease_requests(out: &[Output]) -> Vec<(u64, usize)> {
+    let lease_request = |output: &Output| match output {
+        Output::Send(peer, PeerMessage::LeaseRequests(requests)) => Some((*peer, requests.len())),
         _ => None,
     };
-    out.iter().filter_map(draw).collect()
+    out.iter().filter_map(lease_request).collect()
 }
 
 #[gtest]
-fn a_grant_is_taken_on_the_connection_that_it_was_asked_on_and_once() {
+fn a_grant_is_accepted_only_on_the_connection_of_its_request() {
     let mut subscriber = Subscriber::new(0, hello(Role::Proxy), Vec::new());
-    let registry_hello = |ip: &str, life| Hello { ip: ip.into(), process_id: life, ..hello(Role::Registry) };
+    let registry_hello =
+        |ip: &str, incarnation| Hello { ip: ip.into(), process_id: incarnation, ..hello(Role::Registry) };
     let ips = ["127.0.0.1", "127.0.0.2"].map(String::from);
-    let current_items = |majority| {
-        let (registry_hellos, voters) = (ips.to_vec(), ips.to_vec());
+    let status_of = |majority| {
+        let (addresses, voters) = (ips.to_vec(), ips.to_vec());
         PeerMessage::RegistryStatus(RegistryStatus {
-            registries: registry_hellos,
+            registries: addresses,
             voters,
             epoch: 1,
             epoch_settled: true,
@@ -59,79 +61,84 @@
     let mut out = Vec::new();
     for (peer, ip) in [(1, "127.0.0.1"), (2, "127.0.0.2")] {
         subscriber.receive(0, peer, PeerMessage::Hello(registry_hello(ip, 1)), &mut out);
-        subscriber.receive(0, peer, current_items(true), &mut out);
+        subscriber.receive(0, peer, status_of(true), &mut out);
     }
     let quota = Quota { rate: 100.0, burst: 10.0 };
     out.clear();
     expect_that!(subscriber.admit(1, "t1", quota, 70, &mut out), eq(Admission::Waiting));
-    let [(asked, 1)] = draws(&out)[..] else { panic!("one is asked") };
+    let [(requested_from, 1)] = lease_requests(&out)[..] else { panic!("one registry is asked") };
     let grant = LeaseGrant::Units { units: 5.0, duration: 1_000_000, fencing_token: 1, share: 50.0 };
-    let drawn = || PeerMessage::LeaseGrants(vec![TenantGrant { tenant: "t1".into(), grant: grant.clone() }]);
-    // Nothing was asked of the other: whatever it answers, it is not to this.
+    let grants = || PeerMessage::LeaseGrants(vec![TenantGrant { tenant: "t1".into(), grant: grant.clone() }]);
+    // The other registry has no open request, so its reply violates the protocol.
     out.clear();
-    subscriber.receive(2, 3 - asked, drawn(), &mut out);
-    expect_that!(out, elements_are![matches_pattern!(Output::Close(eq(&(3 - asked))))]);
-    // The link is taken up again by another life, which was asked nothing.
+    subscriber.receive(2, 3 - requested_from, grants(), &mut out);
+    expect_that!(out, elements_are![matches_pattern!(Output::Close(eq(&(3 - requested_from))))]);
+    // The registry reconnects as a new process, which has no open request.
     out.clear();
-    subscriber.disconnected(asked);
-    subscriber.receive(3, 9, PeerMessage::Hello(registry_hello(&ips[asked as usize - 1], 2)), &mut out);
+    subscriber.disconnected(requested_from);
+    subscriber.receive(
+        3,
+        9,
+        PeerMessage::Hello(registry_hello(&ips[requested_from as usize - 1], 2)),
+        &mut out,
+    );
     out.clear();
-    subscriber.receive(4, 9, drawn(), &mut out);
+    subscriber.receive(4, 9, grants(), &mut out);
     expect_that!(out, elements_are![matches_pattern!(Output::Close(eq(&9)))]);
     expect_that!(subscriber.leases().waiting(), eq(1));
-    // A second greeting on a connection would forget what was asked on it.
+    // A second `Hello` on a connection would discard its open requests.
     out.clear();
     subscriber.receive(5, 9, PeerMessage::Hello(registry_hello(&ips[0], 3)), &mut out);
     expect_that!(out, elements_are![matches_pattern!(Output::Close(eq(&9)))]);
 }
 
 #[gtest]
-fn one_that_lives_on_its_share_tells_every_registry_what_it_spends() {
+fn a_proxy_spending_its_share_reports_that_to_every_registry() {
     let mut subscriber = Subscriber::new(0, hello(Role::Proxy), Vec::new());
     let mut out = Vec::new();
     for peer in 1..3 {
         let ip = format!("127.0.0.{peer}");
         subscriber.receive(1, peer, PeerMessage::Hello(Hello { ip, ..hello(Role::Registry) }), &mut out);
-        subscriber.receive(1, peer, PeerMessage::RegistryStatus(current_items(1, &[], false)), &mut out);
+        subscriber.receive(1, peer, PeerMessage::RegistryStatus(status_of(1, &[], false)), &mut out);
     }
-    let asks = |subscriber: &mut Subscriber, now| {
+    let requests = |subscriber: &mut Subscriber, now| {
         let mut out = Vec::new();
         subscriber.admit(now, "t", Quota { rate: 100.0, burst: 100.0 }, now, &mut out);
         subscriber.tick(now, &mut out);
-        let asks = out.into_iter().filter_map(|output| match output {
-            Output::Send(peer, PeerMessage::LeaseRequests(asks)) => {
-                Some((peer, asks[0].wanted, asks[0].share_spent))
+        let requests = out.into_iter().filter_map(|output| match output {
+            Output::Send(peer, PeerMessage::LeaseRequests(requests)) => {
+                Some((peer, requests[0].wanted, requests[0].share_spent))
             }
             _ => None,
         });
-        asks.collect::<Vec<_>>()
+        requests.collect::<Vec<_>>()
     };
-    let first = asks(&mut subscriber, 10_000);
-    let [(count, ..)] = first[..] else { panic!("one is asked") };
+    let first = requests(&mut subscriber, 10_000);
+    let [(owner, ..)] = first[..] else { panic!("one registry is asked") };
     let grant = LeaseGrant::Units { units: 1.0, duration: 100_000, fencing_token: 1, share: 0.5 };
     subscriber.receive(
         20_000,
-        count,
+        owner,
         PeerMessage::LeaseGrants(vec![TenantGrant { tenant: "t".into(), grant }]),
         &mut Vec::new(),
     );
-    // No answer comes any more: by and by it spends of its share, and both hear of that; one is asked.
+    // Without further replies the proxy spends its share and reports that to both registries, but asks only one for units.
     let reported: Vec<_> =
-        (30_000..900_000).step_by(10_000).flat_map(|now| asks(&mut subscriber, now)).collect();
+        (30_000..900_000).step_by(10_000).flat_map(|now| requests(&mut subscriber, now)).collect();
     for peer in 1..3 {
         let spent = reported.iter().filter(|ask| ask.0 == peer).map(|ask| ask.2).fold(0.0, f64::max);
-        expect_that!(spent, gt(10.0), "told to {peer}");
+        expect_that!(spent, gt(10.0), "reported to {peer}");
     }
-    expect_that!(reported.iter().filter(|ask| ask.0 != count).all(|ask| ask.1 == 0.0), eq(true));
+    expect_that!(reported.iter().filter(|ask| ask.0 != owner).all(|ask| ask.1 == 0.0), eq(true));
 }
 
 const SECOND: u64 = 1_000_000;
 
-fn current_items(epoch: u64, voters: &[&str], current: bool) -> RegistryStatus {
+fn status_of(epoch: u64, voters: &[&str], current: bool) -> RegistryStatus {
     let voters: Vec<String> = voters.iter().map(|ip| ip.to_string()).collect();
-    let registry_hellos = voters.clone();
+    let addresses = voters.clone();
     RegistryStatus {
-        registries: registry_hellos,
+        registries: addresses,
         voters,
         epoch,
         epoch_settled: true,
@@ -149,15 +156,15 @@
     operator_call::parse_update(text.as_bytes()).expect("a configuration")
 }
 
-/// A proxy, and what registries tell it.
-struct Play(Subscriber);
+/// A subscriber that receives scripted messages of registries.
+struct SubscriberScript(Subscriber);
 
-impl Play {
-    fn new() -> Play {
-        Play(Subscriber::new(0, hello(Role::Proxy), vec!["10.0.0.1".into()]))
+impl SubscriberScript {
+    fn new() -> SubscriberScript {
+        SubscriberScript(Subscriber::new(0, hello(Role::Proxy), vec!["10.0.0.1".into()]))
     }
 
-    fn said(&mut self, now: u64, peer: u64, message: PeerMessage) {
+    fn receive_message(&mut self, now: u64, peer: u64, message: PeerMessage) {
         self.0.receive(now, peer, message, &mut Vec::new());
     }
 
@@ -168,150 +175,163 @@
             role: Role::Registry,
             process_id: 1,
         };
-        self.said(0, peer, PeerMessage::Hello(hello));
+        self.receive_message(0, peer, PeerMessage::Hello(hello));
     }
 
-    /// A registry says how it stands, and then what it has.
-    fn pulse(&mut self, now: u64, peer: u64, current: bool, items: &[Item]) {
+    /// A registry sends its status and its digests, and a confirmation if it is current.
+    fn send_status(&mut self, now: u64, peer: u64, current: bool, items: &[Item]) {
         let mut item_set = ItemSet::default();
         item_set.merge_all(items.iter().cloned());
-        self.said(now, peer, PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], current)));
-        self.said(now, peer, PeerMessage::Digests([item_set.digest(), 0]));
+        self.receive_message(now, peer, PeerMessage::RegistryStatus(status_of(1, &["10.0.0.1"], current)));
+        self.receive_message(now, peer, PeerMessage::Digests([item_set.digest(), 0]));
         if current {
-            self.confirmed(now, peer, now, LEASE_DURATION, items);
+            self.confirm(now, peer, now, LEASE_DURATION, items);
         }
     }
 
-    /// A registry answers that it is current: asked then, with so much left of its lease.
-    fn confirmed(&mut self, now: u64, peer: u64, asked: u64, left: u64, items: &[Item]) {
+    /// A registry confirms that it is current, for a request sent at `requested_at` and with `left` of its lease remaining.
+    fn confirm(&mut self, now: u64, peer: u64, requested_at: u64, left: u64, items: &[Item]) {
         let mut item_set = ItemSet::default();
         item_set.merge_all(items.iter().cloned());
         let digest = item_set.digest();
-        self.said(now, peer, PeerMessage::Current { asked_at: asked, epoch: 1, digest, lease_left: left });
+        self.receive_message(
+            now,
+            peer,
+            PeerMessage::Current { asked_at: requested_at, epoch: 1, digest, lease_left: left },
+        );
     }
 
-    /// Time passes from one moment to another, while a registry says its own each half second.
-    fn pass(&mut self, from: u64, to: u64, current: bool, items: &[Item]) {
+    /// Advances the time, while registry 1 sends its status and digests every 0.5 s.
+    fn advance(&mut self, from: u64, to: u64, current: bool, items: &[Item]) {
         for now in (from..to).step_by(500_000) {
-            self.pulse(now, 1, current, items);
+            self.send_status(now, 1, current, items);
             self.0.tick(now, &mut Vec::new());
         }
     }
 }
 
 #[gtest]
-fn beside_a_core_that_was_cut_off_a_proxy_that_starts_waits_for_one_that_is_current() {
-    let mut play = Play::new();
+fn a_starting_proxy_waits_for_a_current_registry_if_the_core_is_partitioned() {
+    let mut script = SubscriberScript::new();
     let (old, new) = (service(5), service(6));
-    play.link(1);
-    play.said(0, 1, PeerMessage::Update(old.clone()));
-    play.pass(0, 5 * SECOND, false, &old);
-    expect_that!(play.0.can_serve(), eq(false));
-    // What it had before it said that it is current may be older than that.
-    play.said(5 * SECOND, 1, PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], true)));
-    play.0.tick(5 * SECOND, &mut Vec::new());
-    expect_that!(play.0.can_serve(), eq(false));
-    play.said(5 * SECOND, 1, PeerMessage::Update(new.clone()));
-    play.pulse(5 * SECOND, 1, true, &new);
-    expect_that!(play.0.can_serve(), eq(true));
-    expect_that!(play.0.serves_unconfirmed(), eq(false));
-    // In service it goes on, whatever becomes of the core.
-    play.pass(6 * SECOND, 40 * SECOND, false, &new);
-    expect_that!(play.0.can_serve(), eq(true));
+    script.link(1);
+    script.receive_message(0, 1, PeerMessage::Update(old.clone()));
+    script.advance(0, 5 * SECOND, false, &old);
+    expect_that!(script.0.can_serve(), eq(false));
+    // The items received before the registry became current may be out of date.
+    script.receive_message(5 * SECOND, 1, PeerMessage::RegistryStatus(status_of(1, &["10.0.0.1"], true)));
+    script.0.tick(5 * SECOND, &mut Vec::new());
+    expect_that!(script.0.can_serve(), eq(false));
+    script.receive_message(5 * SECOND, 1, PeerMessage::Update(new.clone()));
+    script.send_status(5 * SECOND, 1, true, &new);
+    expect_that!(script.0.can_serve(), eq(true));
+    expect_that!(script.0.serves_unconfirmed(), eq(false));
+    // Once it serves, the proxy continues whatever the state of the core.
+    script.advance(6 * SECOND, 40 * SECOND, false, &new);
+    expect_that!(script.0.can_serve(), eq(true));
 }
 
 #[gtest]
-fn the_word_of_one_that_is_current_counts_for_a_while() {
-    let mut play = Play::new();
+fn a_confirmation_expires() {
+    let mut script = SubscriberScript::new();
     let (old, new) = (service(5), service(6));
-    play.link(1);
-    play.pulse(0, 1, true, &new);
-    play.said(LEASE_DURATION, 1, PeerMessage::Update(new.clone()));
-    expect_that!(play.0.can_serve(), eq(false), "it came too late");
-    play.pulse(LEASE_DURATION + 1, 1, true, &new);
-    expect_that!(play.0.can_serve(), eq(true));
-    let mut play = Play::new();
-    play.link(1);
-    play.said(0, 1, PeerMessage::Update(old.clone()));
-    play.pulse(0, 1, true, &new);
-    play.link(2);
-    play.pulse(0, 2, false, &old);
-    expect_that!(play.0.can_serve(), eq(false), "it is not the current one's that it has");
+    script.link(1);
+    script.send_status(0, 1, true, &new);
+    script.receive_message(LEASE_DURATION, 1, PeerMessage::Update(new.clone()));
+    expect_that!(script.0.can_serve(), eq(false), "the confirmation has expired");
+    script.send_status(LEASE_DURATION + 1, 1, true, &new);
+    expect_that!(script.0.can_serve(), eq(true));
+    let mut script = SubscriberScript::new();
+    script.link(1);
+    script.receive_message(0, 1, PeerMessage::Update(old.clone()));
+    script.send_status(0, 1, true, &new);
+    script.link(2);
+    script.send_status(0, 2, false, &old);
+    expect_that!(script.0.can_serve(), eq(false), "the replica differs from that of the current registry");
 }
 
 #[gtest]
-fn a_registry_s_lease_counts_for_what_was_left_of_it_from_when_it_was_asked() {
+fn a_confirmation_lasts_for_the_remaining_lease_from_the_time_of_the_request() {
     let items = service(5);
-    let whole_at = |asked, left, now| {
-        let mut play = Play::new();
-        play.link(1);
+    let can_serve_at = |requested_at, left, now| {
+        let mut script = SubscriberScript::new();
+        script.link(1);
         let mut out = Vec::new();
-        play.0.receive(
-            asked,
+        script.0.receive(
+            requested_at,
             1,
-            PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], true)),
+            PeerMessage::RegistryStatus(status_of(1, &["10.0.0.1"], true)),
             &mut out,
         );
-        let asks =
-            out.iter().any(|o| matches!(o, Output::Send(1, PeerMessage::ConfirmCurrent(at)) if *at == asked));
-        expect_that!(asks, eq(true));
-        play.confirmed(now, 1, asked, left, &items);
-        play.said(now, 1, PeerMessage::Update(items.clone()));
-        play.0.tick(now, &mut Vec::new());
-        play.0.can_serve()
+        let asks_confirmation = out
+            .iter()
+            .any(|o| matches!(o, Output::Send(1, PeerMessage::ConfirmCurrent(at)) if *at == requested_at));
+        expect_that!(asks_confirmation, eq(true));
+        script.confirm(now, 1, requested_at, left, &items);
+        script.receive_message(now, 1, PeerMessage::Update(items.clone()));
+        script.0.tick(now, &mut Vec::new());
+        script.0.can_serve()
     };
-    expect_that!(whole_at(SECOND, SECOND / 2, SECOND + SECOND / 2 - 1), eq(true));
-    expect_that!(whole_at(SECOND, SECOND / 2, SECOND + SECOND / 2), eq(false), "it was held up on its way");
-    expect_that!(whole_at(SECOND, 0, SECOND), eq(false));
-    expect_that!(whole_at(SECOND, 60 * SECOND, SECOND + LEASE_DURATION), eq(false), "no lease is longer");
-    // Who says that he is current without an answer to a question is not believed.
-    let mut play = Play::new();
-    play.link(1);
-    play.said(0, 1, PeerMessage::Update(items.clone()));
-    play.pulse(0, 1, false, &items);
-    play.said(1, 1, PeerMessage::RegistryStatus(current_items(1, &["10.0.0.1"], true)));
+    expect_that!(can_serve_at(SECOND, SECOND / 2, SECOND + SECOND / 2 - 1), eq(true));
+    expect_that!(
+        can_serve_at(SECOND, SECOND / 2, SECOND + SECOND / 2),
+        eq(false),
+        "the confirmation was delayed"
+    );
+    expect_that!(can_serve_at(SECOND, 0, SECOND), eq(false));
+    expect_that!(
+        can_serve_at(SECOND, 60 * SECOND, SECOND + LEASE_DURATION),
+        eq(false),
+        "the lease is capped"
+    );
+    // A status that claims to be current does not count without a confirmation.
+    let mut script = SubscriberScript::new();
+    script.link(1);
+    script.receive_message(0, 1, PeerMessage::Update(items.clone()));
+    script.send_status(0, 1, false, &items);
+    script.receive_message(1, 1, PeerMessage::RegistryStatus(status_of(1, &["10.0.0.1"], true)));
     let mut item_set = ItemSet::default();
     item_set.merge_all(items.iter().cloned());
-    play.said(1, 1, PeerMessage::Digests([item_set.digest(), 0]));
-    expect_that!(play.0.can_serve(), eq(false));
+    script.receive_message(1, 1, PeerMessage::Digests([item_set.digest(), 0]));
+    expect_that!(script.0.can_serve(), eq(false));
 }
 
 #[gtest]
-fn with_none_current_for_long_it_serves_what_it_has_and_says_so() {
-    let mut play = Play::new();
+fn without_a_current_registry_for_long_the_unconfirmed_configuration_is_served() {
+    let mut script = SubscriberScript::new();
     let (old, new) = (service(5), service(6));
-    play.link(1);
-    play.said(0, 1, PeerMessage::Update(old.clone()));
-    play.pass(0, 9 * SECOND, false, &old);
-    expect_that!(play.0.can_serve(), eq(false));
-    // What it did not hear while it stood still tells nothing.
-    play.pass(20 * SECOND, 29 * SECOND, false, &old);
-    expect_that!(play.0.can_serve(), eq(false));
-    // Nor does it wait for the old one beside one that is current.
-    play.link(2);
-    play.pulse(29 * SECOND, 2, true, &new);
-    play.pass(29 * SECOND, 38 * SECOND, false, &old);
-    expect_that!(play.0.can_serve(), eq(false));
-    play.pass(38 * SECOND, 43 * SECOND, false, &old);
-    expect_that!((play.0.can_serve(), play.0.serves_unconfirmed()), eq((true, true)));
-    play.said(43 * SECOND, 2, PeerMessage::Update(new.clone()));
-    play.pulse(43 * SECOND, 2, true, &new);
-    expect_that!((play.0.can_serve(), play.0.serves_unconfirmed()), eq((true, false)));
+    script.link(1);
+    script.receive_message(0, 1, PeerMessage::Update(old.clone()));
+    script.advance(0, 9 * SECOND, false, &old);
+    expect_that!(script.0.can_serve(), eq(false));
+    // Messages missed during a stall of the proxy do not count as the absence of a current registry.
+    script.advance(20 * SECOND, 29 * SECOND, false, &old);
+    expect_that!(script.0.can_serve(), eq(false));
+    // The waiting time does not run while another registry is current.
+    script.link(2);
+    script.send_status(29 * SECOND, 2, true, &new);
+    script.advance(29 * SECOND, 38 * SECOND, false, &old);
+    expect_that!(script.0.can_serve(), eq(false));
+    script.advance(38 * SECOND, 43 * SECOND, false, &old);
+    expect_that!((script.0.can_serve(), script.0.serves_unconfirmed()), eq((true, true)));
+    script.receive_message(43 * SECOND, 2, PeerMessage::Update(new.clone()));
+    script.send_status(43 * SECOND, 2, true, &new);
+    expect_that!((script.0.can_serve(), script.0.serves_unconfirmed()), eq((true, false)));
 }
 
 #[gtest]
-fn it_reaches_those_who_vote_in_the_newest_epoch_and_no_more_than_it_needs() {
-    let mut play = Play::new();
-    (1..=3).for_each(|peer| play.link(peer));
+fn the_voters_of_the_newest_epoch_are_wanted_and_no_more_than_needed() {
+    let mut script = SubscriberScript::new();
+    (1..=3).for_each(|peer| script.link(peer));
     let (old, new) = (["10.0.0.1", "10.0.0.2", "10.0.0.3"], ["10.0.0.1", "10.0.0.2", "10.0.0.4"]);
-    play.said(1, 1, PeerMessage::RegistryStatus(current_items(1, &old, true)));
-    expect_that!(play.0.wanted_registries(), container_eq(old.map(String::from)));
-    // One tells of a change; another does not know of it yet.
-    play.said(2, 1, PeerMessage::RegistryStatus(current_items(2, &new, true)));
-    play.said(2, 2, PeerMessage::RegistryStatus(current_items(1, &old, true)));
-    let wanted = play.0.wanted_registries();
+    script.receive_message(1, 1, PeerMessage::RegistryStatus(status_of(1, &old, true)));
+    expect_that!(script.0.wanted_registries(), container_eq(old.map(String::from)));
+    // One registry reports a new epoch; another does not know of it yet.
+    script.receive_message(2, 1, PeerMessage::RegistryStatus(status_of(2, &new, true)));
+    script.receive_message(2, 2, PeerMessage::RegistryStatus(status_of(1, &old, true)));
+    let wanted = script.0.wanted_registries();
     new.iter().for_each(|ip| expect_that!(wanted, contains(eq(*ip))));
-    expect_that!(wanted, contains(eq("10.0.0.3")), "as long as the new one is not reached");
-    play.link(4);
-    expect_that!(play.0.wanted_registries(), container_eq(new.map(String::from)));
+    expect_that!(wanted, contains(eq("10.0.0.3")), "while the new voter is not linked");
+    script.link(4);
+    expect_that!(script.0.wanted_registries(), container_eq(new.map(String::from)));
 }
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -1,7 +1,7 @@
-//! Attempts at a server by themselves: what is never written.
+//! Tests of single attempts: when nothing may be written to the server.
 
+mod harness;
 mod recorder;
-mod stage;
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -40,18 +40,18 @@
 use pinerelay_traffic::room::Room;
 use pinerelay_traffic::vigil::Vigil;
 use pinerelay_traffic::Common;
-use recorder::{header, Recorder, When};
+use recorder::{header, Recorder, ResponseTiming};
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{oneshot, Notify};
 
-/// Hears how attempts end.
+/// Records the outcomes of attempts.
 #[derive(Default)]
-struct Heard {
+struct OutcomeRecorder {
     outcomes: RefCell<Vec<(Outcome, bool)>>,
     ended: Notify,
 }
 
-impl Core for Heard {
+impl Core for OutcomeRecorder {
     fn event(&self, _: Event) {}
 
     fn upload_goes(&self, _: &RequestId, _: usize, _: bool) {}
@@ -61,7 +61,7 @@
     }
 }
 
-impl Ends<ProxyTraffic> for Heard {
+impl Ends<ProxyTraffic> for OutcomeRecorder {
     fn attempt_over(&self, _: &RequestId, _: usize, outcome: Outcome, answer: Option<Response<Bytes>>) {
         self.outcomes.borrow_mut().push((outcome, answer.is_some()));
         self.ended.notify_one();
@@ -72,18 +72,18 @@
     }
 }
 
-/// A server that answers all, and tells of each request.
-fn serve() -> (SocketAddr, Receiver<()>) {
+/// Starts a server that responds to all requests, and reports each read on a channel.
+fn start_server() -> (SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (tell, told) = channel();
+    let (read_sender, requests_read) = channel();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let tell = tell.clone();
+            let read_sender = read_sender.clone();
             thread::spawn(move || {
                 let mut buffer = [0_u8; 4096];
                 while let Ok(1..) = stream.read(&mut buffer) {
-                    let _ = tell.send(());
+                    let _ = read_sender.send(());
                     let answer =
                         "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nX-Request-Id: r\r\nX-Server-Seal: s\r\nContent-Length: 0\r\n\r\n";
                     let _ = stream.write_all(answer.as_bytes());
@@ -91,36 +91,36 @@
             });
         }
     });
-    (address, told)
+    (address, requests_read)
 }
 
-struct Play {
+struct TestUpstream {
     servers: Rc<ServerPool>,
     connector: Rc<UpstreamConnector>,
-    heard: Rc<Heard>,
+    outcome_recorder: Rc<OutcomeRecorder>,
     clock: Rc<Clock>,
-    told: Receiver<()>,
+    requests_read: Receiver<()>,
 }
 
 const SERVER: ServerId = ServerId(7);
 
-impl Play {
-    /// One server, and nothing that may be sent to a second.
-    fn new() -> Play {
-        let (address, told) = serve();
-        Play::at(address, told)
+impl TestUpstream {
+    /// One server, and a retry budget that allows no second attempt.
+    fn new() -> TestUpstream {
+        let (address, requests_read) = start_server();
+        TestUpstream::at(address, requests_read)
     }
 
-    /// One server at this address.
-    fn at(address: SocketAddr, told: Receiver<()>) -> Play {
+    /// The same with a server at this address.
+    fn at(address: SocketAddr, requests_read: Receiver<()>) -> TestUpstream {
         let SocketAddr::V4(address) = address else { panic!("a loopback address") };
         let common = Common { budget: Budget::new(100, 10, 0.5), room: Room::of(64), vigil: Vigil::new() };
-        let retries = RetryBounds { ratio: 0.0, extra: 0.0, ..RetryBounds::default() };
-        let servers = ServerPool::new(common, RetryBudget::new(retries));
-        servers.set(SERVER, "i-7", Some(&stage::server(address)));
-        let (heard, clock) = (Rc::<Heard>::default(), Rc::new(Clock::new()));
+        let retry_bounds = RetryBounds { ratio: 0.0, extra: 0.0, ..RetryBounds::default() };
+        let servers = ServerPool::new(common, RetryBudget::new(retry_bounds));
+        servers.set_server(SERVER, "i-7", Some(&harness::server(address)));
+        let (outcome_recorder, clock) = (Rc::<OutcomeRecorder>::default(), Rc::new(Clock::new()));
         let core: Weak<dyn Ends<ProxyTraffic>> =
-            Rc::downgrade(&(heard.clone() as Rc<dyn Ends<ProxyTraffic>>));
+            Rc::downgrade(&(outcome_recorder.clone() as Rc<dyn Ends<ProxyTraffic>>));
         let connector = UpstreamConnector::new(
             "s1",
             "v1",
@@ -129,15 +129,15 @@
             clock.clone(),
             core,
         );
-        Play { servers, connector, heard, clock, told }
+        TestUpstream { servers, connector, outcome_recorder, clock, requests_read }
     }
 
-    /// Makes one attempt, to be given up so many microseconds from now.
+    /// Makes one attempt, which is aborted `within` microseconds from now.
     async fn attempt(&self, forward: ProxiedRequest, within: i64) -> (Outcome, bool) {
-        let stop = self.clock.now().saturating_add_signed(within) as Micros;
-        self.connector.attempt(RequestId("r".into()), 0, SERVER, Rc::new(forward), stop);
-        self.heard.ended.notified().await;
-        self.heard.outcomes.borrow_mut().pop().expect("an end")
+        let abort_at = self.clock.now().saturating_add_signed(within) as Micros;
+        self.connector.attempt(RequestId("r".into()), 0, SERVER, Rc::new(forward), abort_at);
+        self.outcome_recorder.ended.notified().await;
+        self.outcome_recorder.outcomes.borrow_mut().pop().expect("an end")
     }
 }
 
@@ -169,90 +169,103 @@
     }
 }
 
-fn play(test: impl AsyncFnOnce(Play)) {
+fn run_test(test: impl AsyncFnOnce(TestUpstream)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, async { test(Play::new()).await });
+    tokio::task::LocalSet::new().block_on(&runtime, async { test(TestUpstream::new()).await });
 }
 
 #[gtest]
-fn nothing_is_written_of_a_request_that_its_client_was_promised_never_runs() {
-    play(async |play| {
-        let promised = forward();
-        promised.state.is_withdrawn.set(true);
-        expect_that!(play.attempt(promised, 1_000_000).await, eq((Outcome::NotSent, false)));
-        expect_that!((play.servers.counts().sent, play.told.try_recv().is_err()), eq((0, true)));
-        // The connection that was made for it serves the next one.
-        expect_that!(play.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
-        expect_that!((play.servers.counts().opened, play.told.try_recv().is_ok()), eq((1, true)));
+fn a_withdrawn_request_is_not_written() {
+    run_test(async |upstream| {
+        let withdrawn_request = forward();
+        withdrawn_request.state.is_withdrawn.set(true);
+        expect_that!(upstream.attempt(withdrawn_request, 1_000_000).await, eq((Outcome::NotSent, false)));
+        expect_that!(
+            (upstream.servers.counts().sent, upstream.requests_read.try_recv().is_err()),
+            eq((0, true))
+        );
+        // The connection that was opened for it is reused by the next attempt.
+        expect_that!(upstream.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
+        expect_that!(
+            (upstream.servers.counts().opened, upstream.requests_read.try_recv().is_ok()),
+            eq((1, true))
+        );
     });
 }
 
 #[gtest]
-fn nothing_is_written_once_its_time_is_up() {
-    play(async |play| {
-        expect_that!(play.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
-        expect_that!(play.told.try_recv().is_ok(), eq(true));
-        // A connection is there at once.
-        let (outcome, answered) = play.attempt(forward(), -1_000).await;
+fn a_request_past_its_deadline_is_not_written() {
+    run_test(async |upstream| {
+        expect_that!(upstream.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
+        expect_that!(upstream.requests_read.try_recv().is_ok(), eq(true));
+        // An idle connection is available.
+        let (outcome, answered) = upstream.attempt(forward(), -1_000).await;
         expect_that!((outcome, answered), eq((Outcome::NotSent, false)));
-        expect_that!((play.servers.counts().sent, play.told.try_recv().is_err()), eq((1, true)));
+        expect_that!(
+            (upstream.servers.counts().sent, upstream.requests_read.try_recv().is_err()),
+            eq((1, true))
+        );
     });
 }
 
 #[gtest]
-fn nothing_is_written_of_a_request_that_breaks_the_boundary() {
-    play(async |play| {
-        let broken = ProxiedRequest { body: Payload::Whole(Bytes::from_static(b"another")), ..forward() };
-        let state = broken.state.clone();
-        expect_that!(play.attempt(broken, 1_000_000).await, eq((Outcome::NotSent, false)));
+fn a_request_that_violates_a_forwarding_invariant_is_not_written() {
+    run_test(async |upstream| {
+        let invalid = ProxiedRequest { body: Payload::Whole(Bytes::from_static(b"another")), ..forward() };
+        let state = invalid.state.clone();
+        expect_that!(upstream.attempt(invalid, 1_000_000).await, eq((Outcome::NotSent, false)));
         expect_that!(state.violation.get(), some(eq(ForwardingViolation::BodyFraming)));
-        expect_that!((play.servers.counts().sent, play.told.try_recv().is_err()), eq((0, true)));
         expect_that!(
-            play.attempt(forward(), 3_000_000).await,
+            (upstream.servers.counts().sent, upstream.requests_read.try_recv().is_err()),
+            eq((0, true))
+        );
+        expect_that!(
+            upstream.attempt(forward(), 3_000_000).await,
             eq((Outcome::NotSent, false)),
-            "more time than it has"
+            "a deadline later than the client's"
         );
-        expect_that!(play.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
+        expect_that!(upstream.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
     });
 }
 
 #[gtest]
-fn a_connection_that_was_taken_and_not_used_has_stood_idle_all_the_while() {
-    play(async |play| {
-        expect_that!(play.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
+fn an_unused_connection_keeps_its_idle_time() {
+    run_test(async |upstream| {
+        expect_that!(upstream.attempt(forward(), 1_000_000).await, eq((Outcome::Ok, true)));
         let begun = Instant::now();
-        // Its server keeps it for a second, of which four fifths are made use of.
+        // The server keeps idle connections for 1 s, of which the pool uses 80 %. Returning an unused connection must not restart its
+        // idle time.
         while begun.elapsed() < Duration::from_millis(900) {
             let withdrawn = forward();
             withdrawn.state.is_withdrawn.set(true);
-            expect_that!(play.attempt(withdrawn, 1_000_000).await, eq((Outcome::NotSent, false)));
+            expect_that!(upstream.attempt(withdrawn, 1_000_000).await, eq((Outcome::NotSent, false)));
         }
-        expect_that!(play.servers.counts().opened, eq(2), "connections opened");
+        expect_that!(upstream.servers.counts().opened, eq(2), "connections opened");
     });
 }
 
 #[gtest]
-fn an_attempt_that_has_written_nothing_may_always_be_cancelled() {
-    play(async |play| {
+fn an_attempt_that_has_written_nothing_may_be_replaced_without_budget() {
+    run_test(async |upstream| {
         let forward = forward();
-        expect_that!(play.connector.goes_on(&forward), eq(true));
+        expect_that!(upstream.connector.goes_on(&forward), eq(true));
         forward.state.sent.set(1);
-        expect_that!(play.connector.goes_on(&forward), eq(false));
+        expect_that!(upstream.connector.goes_on(&forward), eq(false));
     });
 }
 
-/// Takes one request of a client that sends these bytes, and gives its body.
+/// Parses a request from these bytes; returns its body.
 async fn body_of(request: String) -> Incoming {
     let (mut client, server) = tokio::io::duplex(request.len());
     client.write_all(request.as_bytes()).await.expect("written");
-    let (give, body) = oneshot::channel();
-    let give = RefCell::new(Some(give));
+    let (body_sender, body) = oneshot::channel();
+    let body_sender = RefCell::new(Some(body_sender));
     tokio::task::spawn_local(async move {
         let service = service_fn(|request: Request<Incoming>| {
-            let give = give.take();
+            let body_sender = body_sender.take();
             async move {
-                let _ = give.map(|give| give.send(request.into_body()));
-                // The body is read for as long as its request has no answer.
+                let _ = body_sender.map(|body_sender| body_sender.send(request.into_body()));
+                // The body can be read only while its request has no response.
                 pending::<std::result::Result<Response<Full<Bytes>>, Infallible>>().await
             }
         });
@@ -269,37 +282,40 @@
 }
 
 #[gtest]
-fn a_long_body_of_which_nothing_was_written_is_given_back_whole_and_sent_once() {
+fn an_unwritten_long_body_is_returned_completely_and_sent_once() {
     const LENGTH: usize = 100_000;
     let server = Recorder::new(|head| {
-        (When::Whole, stage::answer(header(head, "x-request-id").unwrap_or_default(), "hello"))
+        (
+            ResponseTiming::AfterRequest,
+            harness::answer(header(head, "x-request-id").unwrap_or_default(), "hello"),
+        )
     });
     let address = server.address;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let play = Play::at(address, channel().1);
+        let upstream = TestUpstream::at(address, channel().1);
         let body: String = (0..LENGTH).map(|n| char::from(b'a' + (n % 23) as u8)).collect();
         let request = format!("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: {LENGTH}\r\n\r\n{body}");
         let (wait, grace) = (Duration::from_secs(2), Duration::from_secs(3));
         let now = tokio::time::Instant::now();
         let rest = body_of(request).await;
         let upload = Upload::new(Bytes::new(), rest, None, wait, now, grace);
-        // Neither a withdrawn request nor one that fails a check takes anything of the body.
+        // Neither a withdrawn request nor one that fails a check consumes any of the body.
         let withdrawn = forward_long(&upload, LENGTH as u64);
         withdrawn.state.is_withdrawn.set(true);
-        expect_that!(play.attempt(withdrawn, 1_000_000).await, eq((Outcome::NotSent, false)));
+        expect_that!(upstream.attempt(withdrawn, 1_000_000).await, eq((Outcome::NotSent, false)));
         let other_length = forward_long(&upload, 1 + LENGTH as u64);
-        expect_that!(play.attempt(other_length, 1_000_000).await, eq((Outcome::NotSent, false)));
-        expect_that!((play.servers.counts().sent, server.connections().concat().len()), eq((0, 0)));
+        expect_that!(upstream.attempt(other_length, 1_000_000).await, eq((Outcome::NotSent, false)));
+        expect_that!((upstream.servers.counts().sent, server.connections().concat().len()), eq((0, 0)));
         expect_that!(
-            play.attempt(forward_long(&upload, LENGTH as u64), 2_000_000).await,
+            upstream.attempt(forward_long(&upload, LENGTH as u64), 2_000_000).await,
             eq((Outcome::Ok, true))
         );
         expect_that!(server.connections().concat(), ends_with(format!("\r\n\r\n{body}")));
-        // What has been sent is not there for another attempt.
-        let again = forward_long(&upload, LENGTH as u64);
-        expect_that!(play.attempt(again, 1_000_000).await, eq((Outcome::NotSent, false)));
-        expect_that!(play.servers.counts().sent, eq(1));
+        // A body that was sent is not available for another attempt.
+        let repeated = forward_long(&upload, LENGTH as u64);
+        expect_that!(upstream.attempt(repeated, 1_000_000).await, eq((Outcome::NotSent, false)));
+        expect_that!(upstream.servers.counts().sent, eq(1));
         expect_that!(server.requests().iter().sum::<usize>(), eq(1));
     });
 }
