--- a/crates/traffic/src/body.rs
+++ b/crates/traffic/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are taken in whole, and why one was not.
+//! Buffering of complete bodies, and why a body could not be buffered.
 
 use std::io;
 
@@ -6,38 +6,38 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 
-/// Why a body was not taken in.
+/// Why a body was not read to its end.
 pub enum BadBody {
     /// It is longer than allowed.
     TooLong,
-    /// It can't be read.
+    /// It can't be decoded.
     Malformed,
-    /// The connection broke first.
+    /// The connection failed before the body was complete.
     Broken,
 }
 
-/// Takes in a whole body of at most `most` bytes.
-pub async fn whole(body: Incoming, most: usize) -> Result<Bytes, BadBody> {
-    if body.size_hint().lower() > most as u64 {
+/// Buffers a complete body of at most `max_bytes` bytes.
+pub async fn whole(body: Incoming, max_bytes: usize) -> Result<Bytes, BadBody> {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BadBody::TooLong);
     }
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(BadBody::TooLong),
         Err(e) => Err(e.downcast_ref::<hyper::Error>().map_or(BadBody::Broken, bad_body)),
     }
 }
 
-/// What a body's error tells of it.
+/// Classifies an error from reading a body.
 pub fn bad_body(error: &hyper::Error) -> BadBody {
     match std::error::Error::source(error) {
-        Some(cause) if unreadable(cause) => BadBody::Malformed,
+        Some(cause) if is_decoding_error(cause) => BadBody::Malformed,
         _ => BadBody::Broken,
     }
 }
 
-/// Whether a body ended because it can't be decoded, and not with its connection.
-fn unreadable(cause: &(dyn std::error::Error + 'static)) -> bool {
+/// Whether the body can't be decoded, as opposed to a failed connection.
+fn is_decoding_error(cause: &(dyn std::error::Error + 'static)) -> bool {
     let kind = cause.downcast_ref::<io::Error>().map(io::Error::kind);
     matches!(kind, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData))
 }
--- a/crates/traffic/src/clock.rs
+++ b/crates/traffic/src/clock.rs
@@ -1,14 +1,14 @@
-//! The node's clock.
+//! The clock of a node.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use mountbend::interface::Micros;
 use tokio::time::Instant;
 
-/// Unix time in microseconds that never goes back: the machine's clock at the start, then monotonic time.
+/// Unix time in microseconds that never goes backwards: the system time at construction plus monotonic time.
 pub struct Clock {
     start: Micros,
-    at: Instant,
+    started_at: Instant,
 }
 
 impl Default for Clock {
@@ -18,19 +18,19 @@
 }
 
 impl Clock {
-    /// A clock that starts at the machine's time.
+    /// A clock that starts at the current system time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: unix.as_micros() as Micros, at: Instant::now() }
+        Clock { start: unix.as_micros() as Micros, started_at: Instant::now() }
     }
 
-    /// Now.
+    /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
-        self.start + self.at.elapsed().as_micros() as Micros
+        self.start + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A time of this clock as the runtime's timers take it.
+    /// Converts a time of this clock to the runtime's `Instant`.
     pub fn instant(&self, time: Micros) -> Instant {
-        self.at + Duration::from_micros(time.saturating_sub(self.start))
+        self.started_at + Duration::from_micros(time.saturating_sub(self.start))
     }
 }
--- a/crates/traffic/src/connection.rs
+++ b/crates/traffic/src/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: its socket, its place in the budget, and what it is told of both.
+//! State of one client connection: its socket, its descriptor slot among the idle ones, and its lifecycle
+//! events.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,154 +19,159 @@
 use tokio::time::Instant;
 
 use crate::budget::{Budget, Ticket};
-use crate::long::STUCK;
+use crate::long::STALL_TIMEOUT;
 use crate::wire::Wire;
 
-/// One connection: its place in the budget, and what is under way on it.
-pub(crate) struct Idle {
+/// State of one client connection.
+pub(crate) struct ClientState {
     budget: Rc<Budget>,
-    /// Told that its place is wanted.
+    /// Notified when the connection is to close once idle: its slot is needed, or its idle time-out has
+    /// passed.
     pub(crate) close: Rc<Notify>,
-    /// Told that a head or the taking of an answer has had its time.
+    /// Notified when a request head or the delivery of an answer has exceeded its time-out.
     pub(crate) cut: Notify,
     ticket: Cell<Option<Ticket>>,
-    /// Since when it stands idle.
+    /// Since when the connection is idle.
     idle_since: Cell<Option<Instant>>,
-    /// So new that its first request may still lie unread.
-    fresh: Cell<bool>,
-    /// A request has come on it.
+    /// The connection is so new that its first request may still be unread.
+    is_new: Cell<bool>,
+    /// A request has been received on it.
     used: Cell<bool>,
-    /// Decides when it may be closed.
-    life: Cell<Connection>,
-    /// Since when a head is under way.
+    /// State machine that decides when the connection may be closed.
+    lifecycle: Cell<Connection>,
+    /// Since when a request head is being received.
     head_since: Cell<Option<Instant>>,
-    /// Since when the client has taken nothing of what lies there for it.
-    stuck_since: Cell<Option<Instant>>,
+    /// Since when writes to the client are blocked.
+    write_blocked_since: Cell<Option<Instant>>,
     pub(crate) wire: Wire,
 }
 
-fn past(since: &Cell<Option<Instant>>, most: Duration) -> bool {
+fn has_lasted(since: &Cell<Option<Instant>>, most: Duration) -> bool {
     since.get().is_some_and(|at| at.elapsed() > most)
 }
 
-/// Whether something lies in the machine for this connection. Danger: what the runtime knows of that is as old as its
-/// last look, and a process may have stood still since.
-fn unread(stream: &TcpStream) -> bool {
-    SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|some| some > 0)
+/// Whether the socket has unread data. Danger: the runtime's readiness is as old as its last poll, and the
+/// process may have been stalled since; so the socket itself is queried.
+fn has_unread_data(stream: &TcpStream) -> bool {
+    SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
 }
 
-impl Idle {
-    /// One that has just been accepted.
-    pub(crate) fn new(budget: Rc<Budget>) -> Rc<Idle> {
-        // Counted as new from here on, and not from when its task first runs.
-        budget.fresh();
-        Rc::new(Idle {
+impl ClientState {
+    /// The state of a connection that has just been accepted.
+    pub(crate) fn new(budget: Rc<Budget>) -> Rc<ClientState> {
+        // Counted as new from here on, not only from when its task first runs.
+        budget.count_new();
+        Rc::new(ClientState {
             budget,
             close: Rc::default(),
             cut: Notify::new(),
             ticket: Cell::new(None),
             idle_since: Cell::default(),
-            fresh: Cell::new(true),
+            is_new: Cell::new(true),
             used: Cell::new(false),
-            life: Cell::default(),
+            lifecycle: Cell::default(),
             head_since: Cell::new(Some(Instant::now())),
-            stuck_since: Cell::default(),
+            write_blocked_since: Cell::default(),
             wire: Wire::default(),
         })
     }
 
-    /// A request's head has come.
-    pub(crate) fn taken(&self, request: &Request<Incoming>) {
-        self.matured();
+    /// A request head has been received.
+    pub(crate) fn request_received(&self, request: &Request<Incoming>) {
+        self.end_new();
         self.used.set(true);
-        self.on(Event::Taken);
+        self.apply(Event::Taken);
         self.head_since.set(None);
-        self.end();
+        self.mark_busy();
         self.wire.begins(request);
     }
 
-    /// Its answer is handed over; tells whether it is to be the last.
+    /// The answer is handed over for writing; returns whether it is to be the last on this connection.
     pub(crate) fn answered(&self) -> bool {
-        let told = self.life.get().told();
+        let is_last = self.lifecycle.get().told();
         let ahead = self.wire.ahead();
-        self.on(Event::Answered { ahead });
+        self.apply(Event::Answered { ahead });
         self.head_since.set(ahead.then(Instant::now));
-        self.begin();
-        told
+        self.mark_idle();
+        is_last
     }
 
-    /// It has had the time in which a new one's first request comes.
-    pub(crate) fn settled(&self) {
-        self.matured();
+    /// The time in which a new connection's first request arrives is over.
+    pub(crate) fn first_request_wait_over(&self) {
+        self.end_new();
         if !self.used.get() {
-            self.begin();
+            self.mark_idle();
         }
     }
 
-    /// Whether a request has ever come on it.
+    /// Whether a request has ever been received on it.
     pub(crate) fn used(&self) -> bool {
         self.used.get()
     }
 
-    /// Its head gets its time once more.
-    pub(crate) fn again(&self) {
+    /// Restarts the time-out of the request head.
+    pub(crate) fn restart_head_timeout(&self) {
         self.head_since.set(Some(Instant::now()));
     }
 
-    /// Why it is to be cut.
-    pub(crate) fn late(&self) -> Event {
-        if self.stuck() {
+    /// The event that reports why the connection is to be closed at once.
+    pub(crate) fn overdue_event(&self) -> Event {
+        if self.is_write_blocked() {
             Event::Stuck
         } else {
             Event::Overdue
         }
     }
 
-    fn begin(&self) {
-        self.end();
+    fn mark_idle(&self) {
+        self.mark_busy();
         self.idle_since.set(Some(Instant::now()));
         self.ticket.set(Some(self.budget.idle(self.close.clone(), self.used.get())));
     }
 
-    /// Whether a head has been under way for too long, or the client takes nothing.
+    /// Whether a request head has taken longer than `head_wait`, or writes to the client are blocked for too
+    /// long.
     pub(crate) fn overdue(&self, head_wait: Duration) -> bool {
-        self.life.get().stage() != Stage::InWork && past(&self.head_since, head_wait) || self.stuck()
+        self.lifecycle.get().stage() != Stage::InWork && has_lasted(&self.head_since, head_wait)
+            || self.is_write_blocked()
     }
 
-    /// Whether it has stood idle, between two requests, for so long.
+    /// Whether it has been idle between two requests for more than `most`.
     pub(crate) fn idle_for(&self, most: Duration) -> bool {
-        past(&self.idle_since, most)
+        has_lasted(&self.idle_since, most)
     }
 
-    fn stuck(&self) -> bool {
-        past(&self.stuck_since, STUCK)
+    fn is_write_blocked(&self) -> bool {
+        has_lasted(&self.write_blocked_since, STALL_TIMEOUT)
     }
 
-    /// Takes an event that asks for nothing here: whoever hands out the answer sees to it.
-    fn on(&self, event: Event) {
-        let mut life = self.life.get();
-        life.on(event);
-        self.life.set(life);
+    /// Applies an event whose action, if any, the caller need not carry out: the last answer is marked where
+    /// it is sent.
+    fn apply(&self, event: Event) {
+        let mut lifecycle = self.lifecycle.get();
+        lifecycle.on(event);
+        self.lifecycle.set(lifecycle);
     }
 
-    /// Takes an event, and looks what lies unread if that is wanted.
-    pub(crate) fn told(&self, event: Event, stream: &TcpStream) -> Option<Action> {
-        let mut life = self.life.get();
-        let mut action = life.on(event);
+    /// Applies an event, and checks for unread data if the state machine asks for that; returns the action to
+    /// carry out.
+    pub(crate) fn handle(&self, event: Event, stream: &TcpStream) -> Option<Action> {
+        let mut lifecycle = self.lifecycle.get();
+        let mut action = lifecycle.on(event);
         if action == Some(Action::Look) {
-            action = life.on(Event::Looked { unread: unread(stream) });
+            action = lifecycle.on(Event::Looked { unread: has_unread_data(stream) });
         }
-        self.life.set(life);
+        self.lifecycle.set(lifecycle);
         action
     }
 
-    fn matured(&self) {
-        if self.fresh.replace(false) {
-            self.budget.matured();
+    fn end_new(&self) {
+        if self.is_new.replace(false) {
+            self.budget.uncount_new();
         }
     }
 
-    fn end(&self) {
+    fn mark_busy(&self) {
         self.idle_since.set(None);
         if let Some(ticket) = self.ticket.take() {
             self.budget.busy(ticket);
@@ -173,46 +179,46 @@
     }
 }
 
-impl Drop for Idle {
+impl Drop for ClientState {
     fn drop(&mut self) {
-        self.matured();
-        self.end();
+        self.end_new();
+        self.mark_busy();
     }
 }
 
-/// A client's socket that notes when something comes while no request is open.
-pub(crate) struct Watched {
-    /// Shared with who looks what lies unread; never borrowed across a wait.
+/// A client's socket that records received bytes, and writes that are blocked.
+pub(crate) struct ClientStream {
+    /// Shared with the check for unread data; never borrowed across an await.
     pub(crate) stream: Rc<RefCell<TcpStream>>,
-    pub(crate) idle: Rc<Idle>,
+    pub(crate) state: Rc<ClientState>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf);
-        self.idle.wire.read(&buf.filled()[before..]);
-        if buf.filled().len() > before && self.idle.life.get().stage() != Stage::InWork {
-            self.idle.on(Event::Came);
-            if self.idle.head_since.get().is_none() {
-                self.idle.head_since.set(Some(Instant::now()));
+        self.state.wire.read(&buf.filled()[before..]);
+        if buf.filled().len() > before && self.state.lifecycle.get().stage() != Stage::InWork {
+            self.state.apply(Event::Came);
+            if self.state.head_since.get().is_none() {
+                self.state.head_since.set(Some(Instant::now()));
             }
         }
         polled
     }
 }
 
-impl Watched {
-    fn wrote(&self, stuck: bool) {
-        let since = self.idle.stuck_since.get().filter(|_| stuck);
-        self.idle.stuck_since.set(since.or_else(|| stuck.then(Instant::now)));
+impl ClientStream {
+    fn record_write(&self, blocked: bool) {
+        let since = self.state.write_blocked_since.get().filter(|_| blocked);
+        self.state.write_blocked_since.set(since.or_else(|| blocked.then(Instant::now)));
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
-        self.wrote(polled.is_pending());
+        self.record_write(polled.is_pending());
         polled
     }
 
@@ -222,7 +228,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.wrote(polled.is_pending());
+        self.record_write(polled.is_pending());
         polled
     }
 
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -1,4 +1,5 @@
-//! The clients' connections: what is accepted, how many are open, and when one may be closed.
+//! The acceptor of client connections: accepts them within the descriptor budget, serves them, and closes
+//! idle ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,51 +21,53 @@
 use tokio::sync::watch;
 
 use crate::budget::{Budget, Slot};
-use crate::connection::{Idle, Watched};
+use crate::connection::{ClientState, ClientStream};
 use crate::listen::Gate;
 use crate::vigil::TICK;
 use crate::wire::Wire;
 use crate::Common;
 
-/// A head is at most this long. It bounds what a connection may hold in buffers, too.
-pub const HEAD_MOST: usize = 16 * 1024;
-/// A new connection without a request by then counts as idle: what comes with it lies there from the start.
+/// Maximum length of a request head. It also bounds what a connection may buffer.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// A new connection without a request by then counts as idle: a request sent together with the connection
+/// arrives with it.
 const FIRST_REQUEST: Duration = Duration::from_millis(50);
-/// How long a process without a free place leaves who comes to another that accepts too. Then it closes an idle connection
-/// for him all the same: the other may have no place either.
-const ANOTHERS_TURN: Duration = Duration::from_millis(100);
-/// Pause of the listener when accepting fails.
+/// How long a process without a free slot leaves a new connection to the other process that accepts on the
+/// same socket. After that it accepts and closes an idle connection for it: the other may have no free slot
+/// either.
+const OTHER_PROCESS_TURN: Duration = Duration::from_millis(100);
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Who answers what clients ask.
+/// Answers the requests of clients.
 pub trait Handler: 'static {
-    /// An answer's body.
+    /// The body of an answer.
     type Reply: Body<Data = Bytes, Error = io::Error> + 'static;
-    /// Answers one request; dropped before it has, the client has gone.
+    /// Answers one request. If the client disconnects first, the future is dropped.
     fn answer(&self, request: Request<Incoming>, wire: &Wire) -> impl Future<Output = Response<Self::Reply>>;
-    /// Closes an idle connection to a server, to free its descriptor; false if there is none.
+    /// Closes an idle upstream connection to free its descriptor; false if there is none.
     fn close_an_idle(&self) -> bool;
-    /// How long a head may take, from connecting or from its first byte.
+    /// Maximum time to receive a request head, from connecting or from its first byte.
     fn head_wait(&self) -> Duration;
-    /// How long a connection may stand idle; none: until its place is wanted.
+    /// Idle time-out of a connection; none: it stays open until its slot is needed.
     fn idle_wait(&self) -> Option<Duration>;
 }
 
-/// The clients' connections of a process.
+/// The client connections of a process.
 pub struct Front<H> {
     handler: Rc<H>,
     budget: Rc<Budget>,
-    /// Each change tells the connections open by then to close as soon as they are idle.
+    /// Each change asks the connections open at that time to close as soon as they are idle.
     closing: watch::Sender<u32>,
-    /// The open connections.
-    open: RefCell<BTreeMap<u64, Rc<Idle>>>,
+    /// The open connections by number.
+    open: RefCell<BTreeMap<u64, Rc<ClientState>>>,
     opened: Cell<u64>,
-    /// Another process accepts from the same socket.
+    /// Another process accepts on the same socket.
     beside: Cell<bool>,
 }
 
 impl<H: Handler> Front<H> {
-    /// No connections yet.
+    /// Starts without connections, and a task that enforces the time-outs at each watchdog tick.
     pub fn new(handler: Rc<H>, Common { budget, vigil, .. }: Common) -> Rc<Self> {
         let front = Rc::new(Front {
             handler,
@@ -81,11 +84,11 @@
                 vigil.tick().await;
                 let Some(front) = weak.upgrade() else { return };
                 let (head, idle_for) = (front.handler.head_wait(), front.handler.idle_wait());
-                for idle in front.open.borrow().values() {
-                    if idle.overdue(head) {
-                        idle.cut.notify_one();
-                    } else if idle_for.is_some_and(|most| idle.idle_for(most)) {
-                        idle.close.notify_one();
+                for state in front.open.borrow().values() {
+                    if state.overdue(head) {
+                        state.cut.notify_one();
+                    } else if idle_for.is_some_and(|most| state.idle_for(most)) {
+                        state.close.notify_one();
                     }
                 }
             }
@@ -93,19 +96,20 @@
         front
     }
 
-    /// Tells all open connections to close when idle.
+    /// Asks all open connections to close when idle.
     pub fn close_idle(&self) {
         self.closing.send_modify(|n| *n += 1);
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Accepts while the gate is open. Guard: with no descriptor left the last that was accepted waits for one, idle
-    /// connections being closed first; what the machine has accepted meanwhile waits in the backlog. A socket of this process's own (`handed_on`
-    /// false) is emptied once the gate is shut, and closed: nobody else would meet what lies there.
+    /// Accepts while the gate is open. Without a free descriptor, the connection accepted last waits for one
+    /// while idle connections are closed; later ones wait in the kernel's backlog. If the socket is this
+    /// process's own (`handed_on` is false), the backlog is accepted once the gate is shut and the socket is
+    /// closed, as no other process would accept what is queued there.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, gate: Rc<Gate>, handed_on: bool) {
         loop {
             gate.is(true).await;
@@ -115,7 +119,8 @@
             }
             gate.heed();
         }
-        // Danger: what the runtime knows of the backlog is as old as its last look.
+        // Danger: the runtime's readiness of the listener is as old as its last poll, so the socket itself is
+        // asked.
         if let Ok(listener) = listener.into_std() {
             while let Ok((stream, _)) = listener.accept() {
                 let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
@@ -127,8 +132,9 @@
         gate.heed();
     }
 
-    /// Danger: a place made ahead of need is made by closing a connection whose client comes again, and needs it. So one is
-    /// accepted first, with a descriptor that is kept back for this, and then finds or is made its place.
+    /// Danger: freeing a slot ahead of need closes a connection whose client may come back and need one. So a
+    /// connection is accepted first, with a descriptor reserved for this, and then gets a free slot or one
+    /// that is freed for it.
     async fn accept_while_open(self: &Rc<Self>, listener: &TcpListener, gate: &Gate) {
         let mut shut = std::pin::pin!(gate.is(false));
         loop {
@@ -136,7 +142,7 @@
                 biased;
                 () = shut.as_mut() => return,
                 () = self.budget.client_finds_slot() => {}
-                () = tokio::time::sleep(ANOTHERS_TURN), if self.beside.get() => {}
+                () = tokio::time::sleep(OTHER_PROCESS_TURN), if self.beside.get() => {}
                 () = std::future::ready(()), if !self.beside.get() => {}
             }
             let accepted = tokio::select! {
@@ -155,7 +161,7 @@
         }
     }
 
-    /// Whether another process accepts from the same socket.
+    /// Sets whether another process accepts on the same socket.
     pub fn beside(&self, another: bool) {
         self.beside.set(another);
     }
@@ -163,58 +169,60 @@
     async fn slot(&self) -> Slot {
         let close_one =
             || self.budget.exhausted() && self.handler.close_an_idle() || self.budget.close_an_idle_client();
-        self.budget.room(|| self.budget.for_client(), close_one).await
+        self.budget.acquire(|| self.budget.for_client(), close_one).await
     }
 
     fn open(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
-        let idle = Idle::new(self.budget.clone());
+        let state = ClientState::new(self.budget.clone());
         let front = self.clone();
         let mut closing = self.closing.subscribe();
         tokio::task::spawn_local(async move {
             let _slot = slot;
-            let _listed = Listed::new(&front, &idle);
-            // Without it answers are late, not wrong.
+            let _open_entry = OpenEntry::new(&front, &state);
+            // Without TCP_NODELAY answers are delayed, not wrong.
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| {
-                let (handler, idle) = (front.handler.clone(), idle.clone());
+                let (handler, state) = (front.handler.clone(), state.clone());
                 async move {
-                    idle.taken(&request);
-                    let mut response = handler.answer(request, &idle.wire).await;
-                    if idle.answered() {
+                    state.request_received(&request);
+                    let mut response = handler.answer(request, &state.wire).await;
+                    if state.answered() {
                         last(&mut response);
                     }
                     Ok::<_, Infallible>(response)
                 }
             });
             let stream = Rc::new(RefCell::new(stream));
-            let watched = Watched { stream: stream.clone(), idle: idle.clone() };
+            let watched = ClientStream { stream: stream.clone(), state: state.clone() };
             let connection = http1::Builder::new()
-                .max_buf_size(HEAD_MOST)
+                .max_buf_size(MAX_HEAD_BYTES)
                 .header_read_timeout(None)
                 .serve_connection(TokioIo::new(watched), service);
             let mut connection = std::pin::pin!(connection);
-            // Danger: the first request of a new connection may lie unread; only one that stays silent is idle.
-            let mut silent = std::pin::pin!(tokio::time::sleep(FIRST_REQUEST));
+            // Danger: the first request of a new connection may be unread; only one that stays silent is
+            // idle.
+            let mut first_request_wait = std::pin::pin!(tokio::time::sleep(FIRST_REQUEST));
             let mut new = true;
             loop {
                 let event = tokio::select! {
                     biased;
                     _ = connection.as_mut() => return,
-                    _ = idle.close.notified() => Event::Told(Why::Room),
+                    _ = state.close.notified() => Event::Told(Why::Room),
                     _ = closing.changed() => Event::Told(Why::Stop),
-                    _ = idle.cut.notified() => idle.late(),
-                    _ = silent.as_mut(), if new => {
+                    _ = state.cut.notified() => state.overdue_event(),
+                    _ = first_request_wait.as_mut(), if new => {
                         new = false;
-                        idle.settled();
+                        state.first_request_wait_over();
                         continue;
                     }
                 };
-                match idle.told(event, &stream.borrow()) {
+                match state.handle(event, &stream.borrow()) {
                     None | Some(Action::Look | Action::LastAnswer) => {}
-                    Some(Action::Again) => idle.again(),
+                    Some(Action::Again) => state.restart_head_timeout(),
                     Some(Action::Cut) => return,
-                    // One that has never been used would wait for its first request.
-                    Some(Action::Shut) if !idle.used() => return,
+                    // A graceful shutdown of a connection that was never used would wait for its first
+                    // request.
+                    Some(Action::Shut) if !state.used() => return,
                     Some(Action::Shut) => connection.as_mut().graceful_shutdown(),
                 }
             }
@@ -222,27 +230,27 @@
     }
 }
 
-/// Says with an answer that its connection ends with it.
+/// Marks an answer as the last on its connection: `Connection: close`.
 pub fn last<B>(response: &mut Response<B>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// A connection's place on the list of open ones.
-struct Listed<H> {
+/// Keeps a connection in the map of open ones until dropped.
+struct OpenEntry<H> {
     front: Rc<Front<H>>,
     number: u64,
 }
 
-impl<H> Listed<H> {
-    fn new(front: &Rc<Front<H>>, idle: &Rc<Idle>) -> Self {
+impl<H> OpenEntry<H> {
+    fn new(front: &Rc<Front<H>>, state: &Rc<ClientState>) -> Self {
         let number = front.opened.get();
         front.opened.set(number + 1);
-        front.open.borrow_mut().insert(number, idle.clone());
-        Listed { front: front.clone(), number }
+        front.open.borrow_mut().insert(number, state.clone());
+        OpenEntry { front: front.clone(), number }
     }
 }
 
-impl<H> Drop for Listed<H> {
+impl<H> Drop for OpenEntry<H> {
     fn drop(&mut self) {
         self.front.open.borrow_mut().remove(&self.number);
     }
--- a/crates/traffic/src/http.rs
+++ b/crates/traffic/src/http.rs
@@ -1,4 +1,4 @@
-//! Client connections of HTTP/1.1: one request at a time, nothing sent again, closed when dropped.
+//! HTTP/1.1 client connections: one request at a time, no automatic retry, closed when dropped.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -24,32 +24,32 @@
 use crate::long::{Outgoing, UploadBody};
 use crate::passage::Passage;
 
-/// What a connection reads ahead at most; no head is longer.
-const BUFFER_MOST: usize = 16 * 1024;
+/// Maximum read-ahead of a connection, and so the maximum length of an answer's head.
+const MAX_READ_AHEAD: usize = 16 * 1024;
 
-/// An open connection. Dropping it closes the socket, whatever is under way on it.
+/// An open connection. Dropping it closes the socket, whatever is in progress on it.
 pub struct Connection {
-    sender: SendRequest<Told>,
-    written: Rc<Written>,
+    sender: SendRequest<TrackedBody>,
+    written: Rc<WriteProgress>,
     driver: AbortHandle,
-    heard: Rc<Heard>,
+    answer_timing: Rc<AnswerTiming>,
 }
 
-/// When the answer under way began to come, and last went on.
+/// When the current answer began and when it last made progress.
 #[derive(Default)]
-pub struct Heard {
+pub struct AnswerTiming {
     since: Cell<Option<Instant>>,
     last: Cell<Option<Instant>>,
     first: Notify,
 }
 
-impl Heard {
+impl AnswerTiming {
     /// Whether an answer has begun.
     pub fn begun(&self) -> bool {
         self.since.get().is_some()
     }
 
-    /// Comes back once an answer has begun and nothing more of it has come for this long.
+    /// Returns once an answer has begun and nothing more of it has been received for `patience`.
     pub async fn stalled(&self, patience: Duration) {
         self.first.notified().await;
         while let Some(last) = self.last.get() {
@@ -62,53 +62,53 @@
     }
 }
 
-/// What is told once a request has been written whole.
+/// Called once a request has been written completely.
 pub type OnWritten = Option<Rc<dyn Fn()>>;
 
-/// How far the request under way has been written.
-struct Written {
-    /// Its last byte has been handed to the connection.
-    given: Cell<bool>,
-    /// How many bytes of it have gone to the socket, and when.
+/// Progress of writing the current request.
+struct WriteProgress {
+    /// Its last byte has been passed to the HTTP connection.
+    body_taken: Cell<bool>,
+    /// How many bytes have been written to the socket, and when.
     passage: Cell<Passage>,
-    tell: OnWritten,
+    on_written: OnWritten,
 }
 
-impl Written {
-    fn begin(&self, given: bool) {
-        self.given.set(given);
+impl WriteProgress {
+    fn begin(&self, body_taken: bool) {
+        self.body_taken.set(body_taken);
         self.passage.take();
     }
 
-    /// So many bytes have gone to the socket.
-    fn wrote(&self, bytes: usize) {
+    /// Records bytes written to the socket.
+    fn record_write(&self, bytes: usize) {
         let mut passage = self.passage.get();
         passage.begun.get_or_insert_with(Instant::now);
         passage.bytes += bytes as u64;
         self.passage.set(passage);
     }
 
-    /// All that the connection was handed has gone to the socket.
+    /// The HTTP connection has written everything that it was given to the socket.
     fn flushed(&self) {
         let mut passage = self.passage.get();
-        if self.given.get() && passage.bytes > 0 && passage.flushed.is_none() {
+        if self.body_taken.get() && passage.bytes > 0 && passage.flushed.is_none() {
             passage.flushed = Some(Instant::now());
             self.passage.set(passage);
-            self.tell.iter().for_each(|tell| tell());
+            self.on_written.iter().for_each(|on_written| on_written());
         }
     }
 }
 
-/// What goes to a peer.
+/// The body of a request to a server.
 pub type Sent = Outgoing<UploadBody>;
 
-/// A body that tells when its last piece has been taken.
-struct Told {
+/// A body that records when its last frame has been taken.
+struct TrackedBody {
     body: Sent,
-    written: Rc<Written>,
+    written: Rc<WriteProgress>,
 }
 
-impl Body for Told {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -118,7 +118,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if self.body.is_end_stream() || matches!(polled, Poll::Ready(None)) {
-            self.written.given.set(true);
+            self.written.body_taken.set(true);
         }
         polled
     }
@@ -132,22 +132,22 @@
     }
 }
 
-/// A socket that notes when an answer begins.
-struct Watched {
+/// A socket that records the progress of writes and of the answer.
+struct MonitoredStream {
     stream: TcpStream,
-    heard: Rc<Heard>,
-    written: Rc<Written>,
+    answer_timing: Rc<AnswerTiming>,
+    written: Rc<WriteProgress>,
 }
 
-impl Watched {
-    fn wrote(&self, polled: &Poll<io::Result<usize>>) {
+impl MonitoredStream {
+    fn record_write(&self, polled: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes @ 1..)) = polled {
-            self.written.wrote(*bytes);
+            self.written.record_write(*bytes);
         }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -156,20 +156,20 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.heard.last.set(Some(Instant::now()));
-            if self.heard.since.get().is_none() {
-                self.heard.since.set(self.heard.last.get());
-                self.heard.first.notify_waiters();
+            self.answer_timing.last.set(Some(Instant::now()));
+            if self.answer_timing.since.get().is_none() {
+                self.answer_timing.since.set(self.answer_timing.last.get());
+                self.answer_timing.first.notify_waiters();
             }
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.wrote(&polled);
+        self.record_write(&polled);
         polled
     }
 
@@ -179,7 +179,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.wrote(&polled);
+        self.record_write(&polled);
         polled
     }
 
@@ -206,35 +206,39 @@
     }
 }
 
-/// How a request on a connection went wrong.
+/// How sending a request on a connection failed.
 pub enum Broken {
-    /// Not a byte of it was written; here it is again.
+    /// Nothing was written; the request is handed back.
     Unwritten(Box<Request<Sent>>),
-    /// Some of it may have been, and the connection broke.
+    /// Part of it may have been written, and the connection failed.
     Doubtful,
-    /// It was answered with what can't be read, or can't be trusted. The connection is of no further use.
+    /// The answer can't be parsed or can't be trusted. The connection must not be used again.
     Spoilt,
 }
 
 impl Connection {
-    /// Connects. `held` lives as long as the socket.
-    pub async fn open<H: 'static>(address: SocketAddr, held: H, tell: OnWritten) -> io::Result<Self> {
+    /// Connects. `held` is dropped together with the socket.
+    pub async fn open<H: 'static>(address: SocketAddr, held: H, on_written: OnWritten) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let heard = Rc::<Heard>::default();
-        let (given, passage) = Default::default();
-        let written = Rc::new(Written { given, passage, tell });
+        let answer_timing = Rc::<AnswerTiming>::default();
+        let (body_taken, passage) = Default::default();
+        let written = Rc::new(WriteProgress { body_taken, passage, on_written });
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER_MOST)
-            .handshake(TokioIo::new(Watched { stream, heard: heard.clone(), written: written.clone() }))
+            .max_buf_size(MAX_READ_AHEAD)
+            .handshake(TokioIo::new(MonitoredStream {
+                stream,
+                answer_timing: answer_timing.clone(),
+                written: written.clone(),
+            }))
             .await
             .map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
             let _held = held;
-            // What breaks here is told to the request under way as well.
+            // An error here is also reported to the current request.
             let _ = connection.await;
         });
-        Ok(Connection { sender, written, driver: task.abort_handle(), heard })
+        Ok(Connection { sender, written, driver: task.abort_handle(), answer_timing })
     }
 
     /// Whether it is still open, as far as this side knows.
@@ -242,15 +246,15 @@
         !self.sender.is_closed()
     }
 
-    /// Tells when the answer to the next request begins.
-    pub fn heard(&self) -> Rc<Heard> {
-        self.heard.since.set(None);
-        self.heard.clone()
+    /// Timing of the answer to the next request.
+    pub fn heard(&self) -> Rc<AnswerTiming> {
+        self.answer_timing.since.set(None);
+        self.answer_timing.clone()
     }
 
-    /// How the request under way went out, and when its answer began.
+    /// When the current request was written, and when its answer began.
     pub fn passage(&self) -> Passage {
-        Passage { answered: self.heard.since.get(), ..self.written.passage.get() }
+        Passage { answered: self.answer_timing.since.get(), ..self.written.passage.get() }
     }
 
     /// Sends one request and waits for the head of its answer.
@@ -260,17 +264,17 @@
         }
         self.written.begin(request.body().is_end_stream());
         let written = self.written.clone();
-        let request = request.map(|body| Told { body, written });
+        let request = request.map(|body| TrackedBody { body, written });
         self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
-            Some(request) => Broken::Unwritten(Box::new(request.map(|told| told.body))),
+            Some(request) => Broken::Unwritten(Box::new(request.map(|tracked| tracked.body))),
             None if e.error().is_parse() => Broken::Spoilt,
             None => Broken::Doubtful,
         })
     }
 }
 
-/// Whether an answer's head tells without doubt where the answer ends. Danger: without a length a broken
-/// connection looks like a whole body, and of two different ones neither can be believed.
+/// Whether an answer's head determines its end without doubt. Danger: without a length a failed connection
+/// looks like a complete body, and of two different lengths neither can be trusted.
 pub fn framed(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let closes = || headers.get_all(CONNECTION).iter().any(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
@@ -278,13 +282,13 @@
         (true, true) => false,
         (false, false) => closes() || response.status() == StatusCode::NO_CONTENT,
         (true, false) => !response.status().is_informational(),
-        (false, true) => chunked_alone(headers) && !response.status().is_informational(),
+        (false, true) => is_only_chunked(headers) && !response.status().is_informational(),
     }
 }
 
-/// Whether a body comes in chunks and in no other coding. Danger: the client library reads a body of a coding that it does
-/// not know up to the connection's end, and what comes is not the body.
-fn chunked_alone(headers: &HeaderMap) -> bool {
+/// Whether the only transfer coding is `chunked`. Danger: the client library reads a body in an unknown
+/// coding until the connection closes, and what it returns is not the body.
+fn is_only_chunked(headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let chunked = codings.next().is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"));
     chunked && codings.next().is_none()
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,5 +1,5 @@
-//! What any program needs that traffic goes through: clients' and servers' connections, bodies, and the node that
-//! carries out what the decisions say.
+//! The data plane shared by the gateway's processes: client and upstream connections, bodies, resource
+//! budgets, and the node that executes the decisions' actions.
 
 pub mod body;
 pub mod budget;
@@ -20,13 +20,13 @@
 
 use std::rc::Rc;
 
-/// What both sides of a process share.
+/// Process-wide resources shared by the client and the upstream side.
 #[derive(Clone)]
 pub struct Common {
-    /// Its descriptors.
+    /// File descriptor budget.
     pub budget: Rc<budget::Budget>,
-    /// Its memory for bodies.
+    /// Memory for body buffers.
     pub room: room::Room,
-    /// Who notices that it has stood still.
+    /// Detects that the process was not scheduled for a while.
     pub vigil: Rc<vigil::Vigil>,
 }
--- a/crates/traffic/src/listen.rs
+++ b/crates/traffic/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and whether connections are accepted.
+//! Listening sockets, and the gate that turns accepting on and off.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::Notify;
 
-/// Listens at this address, with so many connections waiting at most.
+/// Listens on `address`, with at most `backlog` pending connections.
 pub fn listen(address: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -14,40 +14,42 @@
     socket.listen(backlog)
 }
 
-/// Whether connections are accepted: opened and shut by the life of the process, heeded by who accepts.
+/// Whether connections are accepted. The process lifecycle opens and shuts it; the acceptor obeys it and
+/// acknowledges that it has stopped.
 #[derive(Default)]
 pub struct Gate {
     open: Cell<bool>,
-    /// It has been shut, and who accepts has not yet heeded that.
+    /// The gate was shut and the acceptor has not acknowledged that yet.
     shutting: Cell<bool>,
     changed: Notify,
 }
 
 impl Gate {
-    /// Connections are accepted from now on.
+    /// Lets the acceptor accept connections.
     pub fn open(&self) {
         self.open.set(true);
         self.shutting.set(false);
         self.changed.notify_waiters();
     }
 
-    /// None are accepted any more.
+    /// Stops accepting connections.
     pub fn shut(&self) {
         self.shutting.set(self.open.replace(false));
         self.changed.notify_waiters();
     }
 
-    /// Whether the last that were accepted are among the open connections by now.
+    /// Whether the acceptor has acknowledged the last shut: every accepted connection is then among the open
+    /// ones.
     pub fn heeded(&self) -> bool {
         !self.shutting.get()
     }
 
-    /// Who accepts has stopped to do so.
+    /// The acceptor acknowledges that it has stopped.
     pub fn heed(&self) {
         self.shutting.set(false);
     }
 
-    /// Comes back once it is open, or once it is shut.
+    /// Returns once the gate is in the given state.
     pub async fn is(&self, open: bool) {
         loop {
             let changed = self.changed.notified();
--- a/crates/traffic/src/long.rs
+++ b/crates/traffic/src/long.rs
@@ -1,4 +1,4 @@
-//! Bodies too long to be taken in whole: passed on in pieces as they come, at the pace of the slower side.
+//! Streamed bodies: too long to be buffered, so they are forwarded in pieces at the pace of the slower side.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,40 +17,40 @@
 use crate::body::{bad_body, BadBody};
 use crate::room::{Hold, Room};
 
-/// No body is longer unless the room says so: 32 MB, and what a careless sender counts on top.
-pub const LONGEST: u64 = 34_000_000;
-/// The least that a client sends of a body in a second.
-const RATE: u64 = 64_000;
-/// A peer from which, or to which, nothing has moved for this long is gone.
-pub const STUCK: Duration = Duration::from_secs(15);
+/// Default maximum length of a body: 32 MB plus a margin for senders that count it loosely.
+pub const DEFAULT_MAX_BODY_BYTES: u64 = 34_000_000;
+/// Minimum rate of a client's body, in bytes per second.
+const MIN_UPLOAD_RATE: u64 = 64_000;
+/// A peer is considered gone if no byte has moved from it or to it for this long.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A body, or as much of it as is to be taken in ahead.
+/// A body, or as much of it as could be buffered.
 pub enum Taken {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// What has come of a longer one, and the rest.
+    /// What was received of a longer body, and the rest.
     Part(Bytes, Incoming),
 }
 
-/// Takes in a body of at most `most` bytes; of a longer one, as far as that, as there is room, or up to `until`. One that
-/// says at once that it is longer is left as it is.
+/// Buffers a body of at most `max_bytes` bytes; of a longer one, as much as that, as the memory limit allows, or
+/// as arrives by `until`. A body that declares a larger size is not read at all.
 pub async fn take(
     mut body: Incoming,
-    most: usize,
+    max_bytes: usize,
     until: Option<Instant>,
     room: &Room,
 ) -> Result<Taken, BadBody> {
-    let least = body.size_hint().lower();
-    if least > room.longest() {
+    let min_length = body.size_hint().lower();
+    if min_length > room.max_body_bytes() {
         return Err(BadBody::TooLong);
     }
-    if least > most as u64 {
+    if min_length > max_bytes as u64 {
         return Ok(Taken::Part(Bytes::new(), body));
     }
-    let mut taken = BytesMut::new();
+    let mut buffered = BytesMut::new();
     let mut first = Bytes::new();
-    let mut hold = room.hold();
-    let whole = loop {
+    let mut reservation = room.reservation();
+    let complete = loop {
         let frame = match until {
             Some(until) => match tokio::time::timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
@@ -61,83 +61,84 @@
         let data = match frame {
             None => break true,
             Some(Err(error)) => return Err(bad_body(&error)),
-            // Trailers are dropped: nobody here asks for any.
+            // Trailers are dropped: nothing uses them.
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
         };
-        hold.add(data.len());
-        // One piece is the usual case, and is not copied.
-        if first.is_empty() && taken.is_empty() {
+        reservation.add(data.len());
+        // A body in one piece, the usual case, is not copied.
+        if first.is_empty() && buffered.is_empty() {
             first = data;
         } else {
-            if taken.is_empty() {
-                taken.extend_from_slice(&first);
+            if buffered.is_empty() {
+                buffered.extend_from_slice(&first);
                 first.clear();
             }
-            taken.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
-        let no_room = !hold.may_grow() && !body.is_end_stream();
-        if no_room || taken.len().max(first.len()) > most {
+        let limit_reached = !reservation.may_grow() && !body.is_end_stream();
+        if limit_reached || buffered.len().max(first.len()) > max_bytes {
             break false;
         }
     };
-    let taken = hold.around(if taken.is_empty() { first } else { taken.freeze() });
-    Ok(if whole { Taken::Whole(taken) } else { Taken::Part(taken, body) })
+    let buffered = reservation.attach_to(if buffered.is_empty() { first } else { buffered.freeze() });
+    Ok(if complete { Taken::Whole(buffered) } else { Taken::Part(buffered, body) })
 }
 
-/// Reads what is left of a body that nobody wants, up to `most` bytes and for so long, and drops it. Danger: a client that
-/// is still writing when its connection closes loses the answer that lies there for it.
-pub fn discard(mut body: Incoming, most: u64, patience: Duration) {
-    if body.is_end_stream() || body.size_hint().lower() > most {
+/// Reads and drops the rest of an unwanted body, up to `max_bytes` bytes and for at most `time_limit`. Danger: a
+/// client that is still writing when its connection closes loses the answer that was sent to it.
+pub fn discard(mut body: Incoming, max_bytes: u64, time_limit: Duration) {
+    if body.is_end_stream() || body.size_hint().lower() > max_bytes {
         return;
     }
     let read = async move {
-        let mut left = most;
+        let mut left = max_bytes;
         while let Some(Ok(frame)) = body.frame().await {
             let data = frame.into_data().unwrap_or_default();
             let Some(less) = left.checked_sub(data.len() as u64) else { return };
             left = less;
         }
     };
-    tokio::task::spawn_local(tokio::time::timeout(patience, read));
+    tokio::task::spawn_local(tokio::time::timeout(time_limit, read));
 }
 
-/// How far a client's long body has come.
+/// Progress of a client's streamed body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
-    /// Nothing of it has been passed on.
+enum UploadStage {
+    /// Nothing has been forwarded.
     Waiting,
-    /// Some has.
-    Begun,
-    /// All of it has.
-    Whole,
-    /// The client broke it off, or was too slow.
+    /// Part of it has been forwarded.
+    Started,
+    /// All of it has been forwarded.
+    Complete,
+    /// The client aborted it or was too slow.
     Broken,
 }
 
-/// A client's long body, as the client's side and the attempt see it.
+/// A client's streamed body, shared by the client's connection and the attempt.
 pub struct Upload {
     first: Bytes,
     rest: RefCell<Option<Incoming>>,
     length: Option<u64>,
-    /// How long the client waits for its answer, from the last byte on.
+    /// How long the client waits for the answer after the last byte of its body.
     pub wait: Duration,
     begun: Instant,
     grace: Duration,
     received: Cell<u64>,
-    stage: Cell<Stage>,
+    stage: Cell<UploadStage>,
     ended: Cell<Option<Instant>>,
-    tell: Notify,
-    /// What it holds on its way; nothing of one that is only drained.
-    _pipe: Option<Hold>,
-    longest: u64,
+    notify_end: Notify,
+    /// Reserved memory for its buffers; none for a body that is only drained.
+    _reservation: Option<Hold>,
+    max_body_bytes: u64,
 }
 
 impl Upload {
-    /// A body of which this much has come since `begun`. One slower than `grace` and 64 kB a second is broken off.
+    /// A body whose first part has been received since `begun`. It is aborted if it is slower than 64 kB per
+    /// second after a grace period of `grace`.
     pub fn new(
         first: Bytes,
         rest: Incoming,
-        pipe: Option<Hold>,
+        reservation: Option<Hold>,
         wait: Duration,
         begun: Instant,
         grace: Duration,
@@ -151,90 +152,96 @@
             wait,
             begun,
             grace,
-            stage: Cell::new(Stage::Waiting),
+            stage: Cell::new(UploadStage::Waiting),
             ended: Cell::default(),
-            tell: Notify::new(),
-            longest: pipe.as_ref().map_or(LONGEST, Hold::longest),
-            _pipe: pipe,
+            notify_end: Notify::new(),
+            max_body_bytes: reservation.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, Hold::max_body_bytes),
+            _reservation: reservation,
         })
     }
 
-    /// The body for an attempt; none if an earlier one has taken of it. `goes` is told once a piece is passed on, and
-    /// again (true) once the last one is.
-    pub fn body(self: &Rc<Self>, goes: impl Fn(bool) + 'static) -> Option<UploadBody> {
+    /// The body for an attempt; none if an earlier attempt has taken some of it. `on_progress` is called with false
+    /// when the first piece is forwarded and with true when the last one is.
+    pub fn body(self: &Rc<Self>, on_progress: impl Fn(bool) + 'static) -> Option<UploadBody> {
         let rest = self.rest.take()?;
-        let timer = Box::pin(sleep_until(self.patience()));
+        let timer = Box::pin(sleep_until(self.time_limit()));
         let first = Some(self.first.clone()).filter(|first| !first.is_empty());
-        Some(UploadBody { upload: self.clone(), first, rest: Some(rest), goes: Box::new(goes), timer })
+        Some(UploadBody {
+            upload: self.clone(),
+            first,
+            rest: Some(rest),
+            on_progress: Box::new(on_progress),
+            timer,
+        })
     }
 
-    /// When the last byte had been passed on, or the client had broken it off.
+    /// Waits until the last byte has been forwarded or the body was aborted; returns when that was.
     pub async fn ended(&self) -> Instant {
         loop {
-            let tell = self.tell.notified();
+            let notify_end = self.notify_end.notified();
             match self.ended.get() {
                 Some(at) => return at,
-                None => tell.await,
+                None => notify_end.await,
             }
         }
     }
 
-    /// How long it is, if that is known.
+    /// Its length, if known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether the client has broken it off.
+    /// Whether the client aborted it.
     pub fn broken(&self) -> bool {
-        self.stage.get() == Stage::Broken
+        self.stage.get() == UploadStage::Broken
     }
 
-    /// Whether all of it has been passed on.
+    /// Whether all of it has been forwarded.
     pub fn whole(&self) -> bool {
-        self.stage.get() == Stage::Whole
+        self.stage.get() == UploadStage::Complete
     }
 
-    /// Reads what is left and drops it. Danger: a client that is still writing when its connection closes loses the
-    /// answer that lies there for it.
+    /// Reads and drops the rest. Danger: a client that is still writing when its connection closes loses the
+    /// answer that was sent to it.
     pub fn drain(self: &Rc<Self>) {
         if let Some(mut body) = self.body(|_| ()) {
             tokio::task::spawn_local(async move { while let Some(Ok(_)) = body.frame().await {} });
         }
     }
 
-    fn patience(&self) -> Instant {
-        self.begun + self.grace + Duration::from_micros(self.received.get() * 1_000_000 / RATE)
+    fn time_limit(&self) -> Instant {
+        self.begun + self.grace + Duration::from_micros(self.received.get() * 1_000_000 / MIN_UPLOAD_RATE)
     }
 
-    fn over(&self, stage: Stage) {
+    fn finish(&self, stage: UploadStage) {
         if self.ended.get().is_none() {
             self.stage.set(stage);
             self.ended.set(Some(Instant::now()));
-            self.tell.notify_waiters();
+            self.notify_end.notify_waiters();
         }
     }
 }
 
-/// A client's long body on its way to an app server.
+/// A client's streamed body as the body of an upstream request.
 pub struct UploadBody {
     upload: Rc<Upload>,
     first: Option<Bytes>,
     rest: Option<Incoming>,
-    goes: Box<dyn Fn(bool)>,
+    on_progress: Box<dyn Fn(bool)>,
     timer: Pin<Box<Sleep>>,
 }
 
 impl UploadBody {
-    fn whole(upload: &Upload, goes: &dyn Fn(bool)) {
+    fn mark_complete(upload: &Upload, on_progress: &dyn Fn(bool)) {
         if upload.ended.get().is_none() {
-            upload.over(Stage::Whole);
-            goes(true);
+            upload.finish(UploadStage::Complete);
+            on_progress(true);
         }
     }
 
-    /// Gives the body back of which nothing has been passed on.
+    /// Returns the body for another attempt if nothing of it has been forwarded.
     pub fn give_back(mut self) {
-        if self.upload.stage.get() == Stage::Waiting {
+        if self.upload.stage.get() == UploadStage::Waiting {
             self.upload.rest.replace(self.rest.take());
         }
     }
@@ -249,9 +256,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let this = &mut *self;
-        if this.upload.stage.get() == Stage::Waiting {
-            this.upload.stage.set(Stage::Begun);
-            (this.goes)(false);
+        if this.upload.stage.get() == UploadStage::Waiting {
+            this.upload.stage.set(UploadStage::Started);
+            (this.on_progress)(false);
         }
         if let Some(first) = this.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
@@ -261,36 +268,36 @@
             let polled = match Pin::new(&mut *rest).poll_frame(cx) {
                 Poll::Ready(polled) => polled,
                 Poll::Pending => {
-                    // What has come meanwhile gives the client more time.
-                    let until = this.upload.patience();
+                    // Bytes received since the timer was set extend the client's time.
+                    let until = this.upload.time_limit();
                     if this.timer.deadline() < until {
                         this.timer.as_mut().reset(until);
                     }
                     ready!(this.timer.as_mut().poll(cx));
-                    this.upload.over(Stage::Broken);
+                    this.upload.finish(UploadStage::Broken);
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
             };
             let data = match polled {
                 None => {
-                    Self::whole(&this.upload, &*this.goes);
+                    Self::mark_complete(&this.upload, &*this.on_progress);
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => {
-                    this.upload.over(Stage::Broken);
+                    this.upload.finish(UploadStage::Broken);
                     return Poll::Ready(Some(Err(io::Error::other(error))));
                 }
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
             let received = this.upload.received.get() + data.len() as u64;
             this.upload.received.set(received);
-            if received > this.upload.longest {
-                this.upload.over(Stage::Broken);
+            if received > this.upload.max_body_bytes {
+                this.upload.finish(UploadStage::Broken);
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
             if this.upload.length == Some(received) {
-                // Of a body whose length is known nobody asks for the end.
-                Self::whole(&this.upload, &*this.goes);
+                // With a known length the end of the body is not polled for.
+                Self::mark_complete(&this.upload, &*this.on_progress);
             }
             if data.has_remaining() {
                 return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -304,70 +311,72 @@
 
     fn size_hint(&self) -> SizeHint {
         self.upload.length.map_or_else(SizeHint::default, |length| {
-            let gone = self.upload.received.get() - self.first.as_ref().map_or(0, |f| f.len() as u64);
-            SizeHint::with_exact(length - gone)
+            let forwarded = self.upload.received.get() - self.first.as_ref().map_or(0, |f| f.len() as u64);
+            SizeHint::with_exact(length - forwarded)
         })
     }
 }
 
 impl Drop for UploadBody {
     fn drop(&mut self) {
-        // Danger: what was begun and dropped on the way never comes whole, and nothing would wait for its end.
-        if self.upload.stage.get() == Stage::Begun {
-            self.upload.over(Stage::Begun);
+        // Danger: a body that was started and then dropped never completes; without this nothing would report
+        // its end to the tasks that wait for it.
+        if self.upload.stage.get() == UploadStage::Started {
+            self.upload.finish(UploadStage::Started);
         }
     }
 }
 
-/// How a long answer ended.
+/// How a streamed answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// The client has been given all of it.
     Whole,
-    /// The app server broke it off.
+    /// The app server aborted it.
     Broken,
 }
 
-/// An app server's long answer on its way to the client.
+/// An app server's streamed answer as the body of the client's response.
 pub struct Download {
     first: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    passed: u64,
-    /// Tells the attempt; dropped untold, the client has gone.
+    forwarded: u64,
+    /// Reports the end to the attempt; dropped without a value, the client has disconnected.
     end: Option<oneshot::Sender<End>>,
     timer: Pin<Box<Sleep>>,
     counted: Option<Box<dyn FnOnce(End)>>,
-    pipe: Hold,
+    reservation: Hold,
 }
 
 impl Download {
-    /// An answer of which this much has come. The other half tells how it ended; an error there is a client that went.
-    pub fn new(first: Bytes, rest: Incoming, pipe: Hold) -> (Self, oneshot::Receiver<End>) {
+    /// An answer whose first part has been received. The receiver yields how it ended; an error means that
+    /// the client has disconnected.
+    pub fn new(first: Bytes, rest: Incoming, reservation: Hold) -> (Self, oneshot::Receiver<End>) {
         let (end, ended) = oneshot::channel();
         let download = Download {
             length: rest.size_hint().exact().map(|left| left + first.len() as u64),
             first: Some(first).filter(|first| !first.is_empty()),
             rest,
-            passed: 0,
+            forwarded: 0,
             end: Some(end),
-            timer: Box::pin(sleep_until(Instant::now() + STUCK)),
+            timer: Box::pin(sleep_until(Instant::now() + STALL_TIMEOUT)),
             counted: None,
-            pipe,
+            reservation,
         };
         (download, ended)
     }
 
-    /// Tells its end to who counts it; dropped untold, the client has gone.
+    /// Calls `count` with its end; if it is dropped without a call, the client has disconnected.
     pub fn counted(mut self, count: impl FnOnce(End) + 'static) -> Self {
         self.counted = Some(Box::new(count));
         self
     }
 
-    fn over(&mut self, end: End) {
-        if let Some(tell) = self.end.take() {
-            // An attempt that is over has nothing to be told.
-            let _ = tell.send(end);
+    fn finish(&mut self, end: End) {
+        if let Some(sender) = self.end.take() {
+            // The attempt may be over, and the receiver dropped.
+            let _ = sender.send(end);
         }
         if let Some(count) = self.counted.take() {
             count(end);
@@ -392,27 +401,27 @@
             let data = match polled {
                 Poll::Pending => {
                     ready!(this.timer.as_mut().poll(cx));
-                    this.over(End::Broken);
+                    this.finish(End::Broken);
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
                 Poll::Ready(None) => {
-                    this.over(End::Whole);
+                    this.finish(End::Whole);
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(error))) => {
-                    this.over(End::Broken);
+                    this.finish(End::Broken);
                     return Poll::Ready(Some(Err(io::Error::other(error))));
                 }
                 Poll::Ready(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
-            this.timer.as_mut().reset(Instant::now() + STUCK);
-            this.passed += data.len() as u64;
-            if this.passed > this.pipe.longest() {
-                this.over(End::Broken);
+            this.timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+            this.forwarded += data.len() as u64;
+            if this.forwarded > this.reservation.max_body_bytes() {
+                this.finish(End::Broken);
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
-            if this.length == Some(this.passed) {
-                this.over(End::Whole);
+            if this.length == Some(this.forwarded) {
+                this.finish(End::Whole);
             }
             if data.has_remaining() {
                 return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -421,19 +430,19 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.length == Some(self.passed)
+        self.length == Some(self.forwarded)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - self.passed))
+        self.length.map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - self.forwarded))
     }
 }
 
-/// A body that is there, or is passed on as it comes: a request's to an app server, or an answer's to a client.
+/// A buffered or streamed body: of a request to an app server or of an answer to a client.
 pub enum Outgoing<L> {
-    /// All of it is there.
+    /// A buffered body.
     Whole(Full<Bytes>),
-    /// It is passed on.
+    /// A streamed body.
     Long(L),
 }
 
--- a/crates/traffic/src/node.rs
+++ b/crates/traffic/src/node.rs
@@ -1,5 +1,5 @@
-//! The node: it owns the decisions and all open requests, and is the one place where events enter the
-//! decisions and actions leave them.
+//! The node owns the decisions and all open requests. All events enter the decisions here, and all actions
+//! leave them here.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -18,39 +18,40 @@
 use crate::clock::Clock;
 use crate::ports::{Answer, Core, Ends, MemberSource, QuotaStore, Traffic, Upstream};
 
-/// Attempts are given up this long before the client gives up, so that the answer still reaches it.
+/// Attempts are given up this long before the client's deadline (in microseconds), so that the answer still
+/// reaches it.
 pub const STOP_BEFORE: Micros = 25_000;
-/// What is unanswered this long before the client gives up has failed.
+/// A request without an answer this long before the client's deadline (in microseconds) has failed.
 pub const FAIL_BEFORE: Micros = 15_000;
 
 struct Attempt {
     server: ServerId,
     sent: Micros,
-    /// Its task, while the attempt is out.
+    /// Its task, while the attempt is in progress.
     task: Option<AbortHandle>,
-    /// The decisions have given it up for another one, which has not been written yet.
+    /// The decisions have cancelled it in favour of another attempt, which has not been written yet.
     superseded: bool,
 }
 
-struct Open<T: Traffic> {
-    /// Where the final answer goes; none once it has been given or the client has gone.
+struct OpenRequest<T: Traffic> {
+    /// Receives the final answer; none once it was sent or the client has disconnected.
     answer: Option<oneshot::Sender<Answer<T>>>,
-    /// The decisions' final answer, which holds if no superseded attempt brings a better one.
+    /// The decisions' final answer, used if no superseded attempt yields a better one.
     fallback: Option<Answer<T>>,
     forward: Rc<T::Forward>,
-    /// Attempts are given up at this time.
+    /// When attempts are given up.
     stop: Micros,
     attempts: Vec<Attempt>,
     try_limit: usize,
 }
 
-/// What the node is joined to.
+/// The peers of a node.
 pub struct Peers<T: Traffic> {
     /// The app servers.
     pub upstream: Rc<dyn Upstream<T>>,
-    /// Where the shared counts live.
+    /// The store of the shared counters.
     pub store: Rc<dyn QuotaStore>,
-    /// Who tells of app servers.
+    /// The source of the list of app servers.
     pub members: Rc<dyn MemberSource>,
 }
 
@@ -61,17 +62,17 @@
     peers: Peers<T>,
     try_limit: Cell<usize>,
     controller: RefCell<Controller>,
-    open: RefCell<BTreeMap<RequestId, Open<T>>>,
+    open: RefCell<BTreeMap<RequestId, OpenRequest<T>>>,
     events: RefCell<VecDeque<Event>>,
     busy: Cell<bool>,
     stopping: Cell<bool>,
     me: Weak<Node<T>>,
 }
 
-/// A request under an id that is still in work.
+/// The request's id belongs to a request that is still in progress.
 pub struct Duplicate;
 
-/// A client that waits for a request's answer.
+/// A client that waits for a request's answer. Dropping it reports that the client is gone.
 pub struct Waited<T: Traffic> {
     node: Rc<Node<T>>,
     id: RequestId,
@@ -79,12 +80,12 @@
 
 impl<T: Traffic> Drop for Waited<T> {
     fn drop(&mut self) {
-        self.node.gone(&self.id);
+        self.node.client_gone(&self.id);
     }
 }
 
 impl<T: Traffic> Node<T> {
-    /// A node that knows nothing yet, joined to the peers that `join` makes. They may tell it things only once
+    /// A node without state, connected to the peers that `join` creates. They must not report events before
     /// this has returned.
     pub fn new(
         controller: Controller,
@@ -105,28 +106,29 @@
         })
     }
 
-    /// What the decisions have learned of the fleet.
+    /// What the decisions have learned about the servers.
     pub fn memory(&self) -> Memory {
         self.controller.borrow().memory()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// New settings: the whole table of classes, and the most attempts for one request. Open requests keep theirs.
+    /// Applies new settings: the complete table of classes, and the maximum number of attempts per request.
+    /// Open requests keep the old ones.
     pub fn retune(&self, classes: Vec<Class>, try_limit: u32) {
         self.try_limit.set(try_limit.max(1) as usize);
         self.event(Event::SettingsChanged { classes, try_limit });
     }
 
-    /// Whether a client still waits for an answer.
+    /// Whether a client waits for an answer.
     pub fn waited_for(&self) -> bool {
         self.open.borrow().values().any(|o| o.answer.is_some())
     }
@@ -136,12 +138,12 @@
         self.open.borrow().is_empty()
     }
 
-    /// The last moment of a planned stop: what is still unanswered has failed.
+    /// Ends a graceful shutdown: requests without an answer fail.
     pub fn fail_all(&self) {
-        let left: Vec<_> = self.open.borrow().keys().cloned().collect();
-        for id in left {
-            let waited = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
-            if let Some(sender) = waited {
+        let unanswered: Vec<_> = self.open.borrow().keys().cloned().collect();
+        for id in unanswered {
+            let waiting_client = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
+            if let Some(sender) = waiting_client {
                 let _ = sender.send(Answer::Failed(Reason::TimedOut));
                 self.event(Event::ClientGone { id });
             }
@@ -156,7 +158,8 @@
             Action::Cancel { id, attempt } => {
                 let forward = self.open.borrow().get(&id).map(|open| open.forward.clone());
                 match forward {
-                    // Danger: a server's silence is no reason to end what may not be sent to another.
+                    // Danger: a request that may not be sent to another server must not be cancelled because
+                    // of its server's silence.
                     Some(forward) if !self.peers.upstream.goes_on(&forward) => {}
                     Some(forward) if T::outlasts_cancel(&forward) => self.supersede(&id, attempt as usize),
                     _ => self.end(&id, attempt as usize, Outcome::Cancelled, None),
@@ -174,13 +177,13 @@
                 });
             }
             Action::FetchList => self.peers.members.fetch(),
-            // The list is watched from the start on.
+            // The list is watched from the start.
             Action::WatchList => {}
         }
     }
 
-    /// Takes a request; its answer comes through the receiver. Danger: an id that is still in work must not
-    /// be entered again, or a request that may not run twice would.
+    /// Accepts a request; the receiver yields its answer. Danger: the id of a request in progress must not be
+    /// accepted again, or a request that must not run twice would.
     pub fn take(
         &self,
         request: NewRequest,
@@ -189,7 +192,7 @@
         let (sender, receiver) = oneshot::channel();
         let stop = T::stop(&forward, request.due);
         let try_limit = T::tries(&forward).unwrap_or(self.try_limit.get());
-        let open = Open {
+        let open = OpenRequest {
             answer: Some(sender),
             fallback: None,
             forward: Rc::new(forward),
@@ -199,49 +202,51 @@
         };
         match self.open.borrow_mut().entry(request.id.clone()) {
             std::collections::btree_map::Entry::Occupied(_) => return Err(Duplicate),
-            std::collections::btree_map::Entry::Vacant(place) => place.insert(open),
+            std::collections::btree_map::Entry::Vacant(vacant) => vacant.insert(open),
         };
         self.event(Event::Request(request));
         Ok(receiver)
     }
 
-    /// When a request that is due at this time has to be answered.
+    /// When a request with the deadline `due` has to be answered.
     pub fn last_call(&self, due: Micros) -> Instant {
         self.clock.instant(due.saturating_sub(FAIL_BEFORE))
     }
 
-    /// Nobody waits for this request any more: its client has gone, or it has just been told that it failed.
-    pub fn gone(&self, id: &RequestId) {
-        let waited = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
-        if waited.is_some() {
+    /// No client waits for this request any more: the client has disconnected, or was just sent a failure.
+    pub fn client_gone(&self, id: &RequestId) {
+        let waiting_client = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
+        if waiting_client.is_some() {
             self.event(Event::ClientGone { id: id.clone() });
-            self.break_off(id);
+            self.abort_attempts(id);
         }
     }
 
-    /// Breaks off the attempts at a request that nobody waits for, if its traffic wants that.
-    fn break_off(&self, id: &RequestId) {
-        let out: Vec<_> = match self.open.borrow().get(id) {
+    /// Aborts the attempts at a request without a waiting client, if its kind of traffic wants that.
+    fn abort_attempts(&self, id: &RequestId) {
+        let running: Vec<_> = match self.open.borrow().get(id) {
             Some(open) if T::stops_when_gone(&open.forward) => {
                 let tasks = open.attempts.iter().enumerate();
                 tasks.filter_map(|(number, attempt)| Some((number, attempt.task.clone()?))).collect()
             }
             _ => return,
         };
-        for (number, task) in out {
-            // Closes the connection: so its server learns of it.
+        for (number, task) in running {
+            // Closes the connection, which notifies the server.
             task.abort();
             self.end(id, number, Outcome::NotSent, None);
         }
     }
 
-    /// A client waits for this request's answer; dropped, it waits no longer. Once it is answered that is nothing.
+    /// A guard for a client that waits for this request's answer; when dropped, the client no longer waits.
+    /// No effect once the request is answered.
     pub fn waited(self: &Rc<Self>, id: RequestId) -> Waited<T> {
         Waited { node: self.clone(), id }
     }
 
-    /// Tells the decisions that an attempt is over, and lets it go on until another one is written. Danger: there may be no
-    /// connection for another, and the server that is given up on may be at work.
+    /// Reports an attempt to the decisions as cancelled, but lets it continue until another one is written.
+    /// Danger: there may be no connection for another one, and the server that was given up may be working on
+    /// the request.
     fn supersede(&self, id: &RequestId, number: usize) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
@@ -252,18 +257,19 @@
         }
         let (server, spent) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
         drop(requests);
-        self.ended(id, number, server, Outcome::Cancelled, spent, finished);
+        self.report_end(id, number, server, Outcome::Cancelled, spent, finished);
     }
 
-    /// A superseded attempt is over, of which the decisions know already; with a body, it has served the request.
+    /// Handles the end of a superseded attempt, which the decisions know already as cancelled; if there is a
+    /// `body`, it has served the request.
     fn superseded_over(&self, id: &RequestId, body: Option<T::Whole>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let served = body.is_some();
-        let out = open.attempts.iter().any(|attempt| attempt.task.is_some());
+        let is_running = open.attempts.iter().any(|attempt| attempt.task.is_some());
         let answer = match body {
             Some(body) => Some(Answer::Served(body)),
-            None if !out => open.fallback.take(),
+            None if !is_running => open.fallback.take(),
             None => None,
         };
         let waiting = answer.is_some().then(|| open.answer.take()).flatten();
@@ -273,12 +279,12 @@
         }
         if served {
             self.event(Event::ClientGone { id: id.clone() });
-            self.break_off(id);
+            self.abort_attempts(id);
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    fn ended(
+    fn report_end(
         &self,
         id: &RequestId,
         number: usize,
@@ -299,14 +305,14 @@
             }
         }
         if let Some(sender) = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take()) {
-            // A client that has just gone is told of by its connection.
+            // If the client has just disconnected, its connection reports that.
             let _ = sender.send(answer);
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// Drops a request once it has its answer and no attempt is out.
-    fn forget(&self, id: &RequestId) {
+    /// Removes a request once it is answered and no attempt is in progress.
+    fn remove_if_done(&self, id: &RequestId) {
         let mut open = self.open.borrow_mut();
         if open.get(id).is_some_and(|o| o.answer.is_none() && o.attempts.iter().all(|a| a.task.is_none())) {
             open.remove(id);
@@ -317,7 +323,7 @@
         let now = self.clock.now();
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else {
-            eprintln!("pinerelay: an attempt for a request that is over");
+            eprintln!("pinerelay: an attempt was ordered for a request that is no longer open");
             return;
         };
         let number = open.attempts.len();
@@ -326,7 +332,7 @@
             open.attempts.push(attempt);
             let finished = open.answer.is_none();
             drop(requests);
-            return self.ended(&id, number, server, Outcome::NotSent, 0, finished);
+            return self.report_end(&id, number, server, Outcome::NotSent, 0, finished);
         }
         let stop = if timeout > 0 { open.stop.min(now + timeout) } else { open.stop };
         let task = self.peers.upstream.attempt(id, number, server, open.forward.clone(), stop);
@@ -334,14 +340,15 @@
         open.attempts.push(attempt);
     }
 
-    /// An attempt is over; a second end of the same one is dropped. With a body, it has served the request.
+    /// Handles the end of an attempt; a second end of the same attempt is ignored. If there is a `body`, it
+    /// has served the request.
     fn end(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Whole>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let Some(attempt) = open.attempts.get_mut(number) else { return };
         let Some(task) = attempt.task.take() else { return };
         if outcome == Outcome::Cancelled {
-            // Closes the connection too: that is how an app server learns of it.
+            // Also closes the connection, which notifies the app server.
             task.abort();
         }
         if attempt.superseded {
@@ -356,14 +363,14 @@
         }
         let finished = open.answer.is_none();
         drop(requests);
-        self.ended(id, number, server, outcome, spent, finished);
+        self.report_end(id, number, server, outcome, spent, finished);
     }
 }
 
 impl<T: Traffic> Core for Node<T> {
-    /// Hands an event to the decisions and carries out what they say. Danger: actions may cause events at
-    /// once; these wait until the actions of the earlier event are all done, or the decisions would be
-    /// entered twice.
+    /// Passes an event to the decisions and performs the actions that they return. Danger: actions may cause
+    /// further events at once. These are queued until all actions of the earlier event are done, as the
+    /// decisions must not be entered recursively.
     fn event(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.busy.replace(true) {
@@ -372,7 +379,7 @@
         let mut actions = Vec::new();
         loop {
             let Some(event) = self.events.borrow_mut().pop_front() else { break };
-            let over = match &event {
+            let ended_id = match &event {
                 Event::Ended(e) => Some(e.id.clone()),
                 Event::ClientGone { id } => Some(id.clone()),
                 _ => None,
@@ -381,8 +388,8 @@
             for action in actions.drain(..) {
                 self.perform(action);
             }
-            if let Some(id) = over {
-                self.forget(&id);
+            if let Some(id) = ended_id {
+                self.remove_if_done(&id);
             }
         }
         self.busy.set(false);
@@ -407,13 +414,13 @@
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let earlier = open.attempts.iter_mut().take(number).filter(|attempt| attempt.superseded);
-        // Closes the connections: so the servers learn of it.
+        // Closes the connections, which notifies the servers.
         earlier.filter_map(|attempt| attempt.task.take()).for_each(|task| task.abort());
     }
 
     fn answer_begins(&self, id: &RequestId, number: usize, answer: T::Long) -> bool {
-        let waits = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
-        let sent = waits.is_some_and(|sender| sender.send(Answer::Long(answer)).is_ok());
+        let client = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
+        let sent = client.is_some_and(|sender| sender.send(Answer::Long(answer)).is_ok());
         self.event(Event::Streaming { id: id.clone(), attempt: number as u32, stage: Stage::Answering });
         sent
     }
--- a/crates/traffic/src/pool.rs
+++ b/crates/traffic/src/pool.rs
@@ -1,4 +1,4 @@
-//! Where servers are, and the idle connections kept to each.
+//! Addresses of the servers, and a pool of idle connections to each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,21 +13,21 @@
 use crate::http::Connection;
 use crate::reuse::Reuse;
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
     idle: Idle,
 }
 
-/// How long a connection has stood idle, and may.
+/// How long a connection has been idle, and for how long it may be.
 #[derive(Debug, Clone, Copy)]
 pub struct Idle {
     since: Instant,
-    /// For how long it may stand idle.
+    /// For how long it may stay idle.
     keep: Duration,
 }
 
 impl Idle {
-    /// For how long it has stood idle.
+    /// For how long it has been idle.
     pub fn age(&self) -> Duration {
         self.since.elapsed()
     }
@@ -36,36 +36,37 @@
 struct Host<T> {
     address: SocketAddr,
     up: bool,
-    /// Another with each address and life, never given twice: connections of an earlier one are not kept.
+    /// Changes with the address and with each restart of the server; never reused. Connections of an earlier
+    /// generation are not kept.
     generation: u64,
-    idle: Vec<Kept>,
+    idle: Vec<IdleConnection>,
     more: T,
 }
 
-/// All servers that are known. `T` is what a program knows of each beside its address.
+/// All known servers. `T` is what a program stores about each server besides its address.
 pub struct Pool<T> {
     hosts: RefCell<BTreeMap<ServerId, Host<T>>>,
-    /// The last generation given.
+    /// The last generation assigned.
     generation: Cell<u64>,
     budget: Rc<Budget>,
-    /// Up to which age idle connections are used again.
+    /// Up to which idle age connections are reused.
     pub reuse: Reuse,
 }
 
-/// A server that takes requests, as it is reached.
+/// How to connect to a server that accepts requests.
 pub struct Reach<R> {
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// Which of the lives that were there.
+    /// The server's generation at this address.
     pub generation: u64,
-    /// A kept connection, and how long it stood idle.
+    /// An idle connection, and its idle time.
     pub kept: Option<(Connection, Idle)>,
-    /// What was asked of what is known beside.
+    /// What the caller read from the program's data about the server.
     pub more: R,
 }
 
 impl<T: 'static> Pool<T> {
-    /// No servers yet.
+    /// Starts without servers, and a task that drops expired idle connections each second.
     pub fn new(budget: Rc<Budget>) -> Rc<Pool<T>> {
         let pool = Rc::new(Pool {
             hosts: RefCell::default(),
@@ -91,36 +92,36 @@
         }
     }
 
-    fn usable(&self, kept: &Kept) -> bool {
+    fn usable(&self, kept: &IdleConnection) -> bool {
         let age = kept.idle.age();
         age < kept.idle.keep && self.reuse.allows(age) && kept.connection.usable()
     }
 
-    /// How many connections stand idle.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.hosts.borrow().values().map(|host| host.idle.len()).sum()
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor.
+    /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
     pub fn close_an_idle(&self) -> bool {
         let mut hosts = self.hosts.borrow_mut();
         let oldest = hosts.values_mut().filter(|h| !h.idle.is_empty()).min_by_key(|h| h.idle[0].idle.since);
         oldest.map(|host| host.idle.remove(0)).is_some()
     }
 
-    /// A place for one more connection. Guard: with none free, idle ones are closed first.
+    /// A slot for one more connection. With none free, idle connections are closed first.
     pub async fn slot(&self) -> Slot {
         let close_one = || self.close_an_idle() || self.budget.close_an_idle_client();
-        self.budget.room(|| self.budget.for_server(), close_one).await
+        self.budget.acquire(|| self.budget.for_server(), close_one).await
     }
 
-    /// Whether a server wants something new, and still is the one of this generation.
+    /// Whether a server accepts new requests and is still of this generation.
     pub fn stands(&self, server: ServerId, generation: u64) -> bool {
         self.hosts.borrow().get(&server).is_some_and(|h| h.up && h.generation == generation)
     }
 
-    /// How a server is reached; none if it takes nothing new. Of kept connections the youngest comes first, if `reuse` says
-    /// that they may be used.
+    /// How to connect to a server; none if it accepts nothing new. Returns the most recently used idle
+    /// connection if `reuse` allows reusing them; those that are no longer usable are closed.
     pub fn reach<R>(
         &self,
         server: ServerId,
@@ -141,16 +142,17 @@
         Some(Reach { address, generation, kept: found, more: more(&host.more) })
     }
 
-    /// Keeps a connection for so long, if its server is still the one of this generation.
+    /// Returns a connection to the pool for `keep`, if its server is still of this generation.
     pub fn give_back(&self, server: ServerId, connection: Connection, generation: u64, keep: Duration) {
         self.put_back(server, connection, generation, Idle { since: Instant::now(), keep });
     }
 
-    /// Keeps a connection on which nothing was written since it was taken: it has stood idle all the while.
+    /// Returns a connection on which nothing was written since it was taken from the pool: its idle time goes
+    /// on.
     pub fn put_back(&self, server: ServerId, connection: Connection, generation: u64, idle: Idle) {
         let mut hosts = self.hosts.borrow_mut();
         if let Some(host) = hosts.get_mut(&server).filter(|h| h.up && h.generation == generation) {
-            host.idle.push(Kept { connection, idle });
+            host.idle.push(IdleConnection { connection, idle });
             self.budget.ease();
         }
     }
@@ -160,13 +162,14 @@
         self.hosts.borrow_mut().get_mut(&server).into_iter().for_each(|host| host.idle.clear());
     }
 
-    /// What is known of a server beside its address.
+    /// Accesses the program's data about a server; none if the server is unknown.
     pub fn more<R>(&self, server: ServerId, of: impl FnOnce(&mut T) -> R) -> Option<R> {
         self.hosts.borrow_mut().get_mut(&server).map(|host| of(&mut host.more))
     }
 
-    /// What is known of a server; without a usable address the last one stands. `first` makes what is known of a new one
-    /// beside, and `then` brings that up to date, and tells whether it is another life. False if there is no address.
+    /// Adds or updates a server; without a usable address the last one is kept. `first` creates the program's
+    /// data for a new server; `then` updates them and returns whether the server has restarted. False if
+    /// there is no address.
     pub fn set(
         &self,
         server: ServerId,
@@ -179,7 +182,8 @@
         let Some(address) = address.or_else(|| hosts.get(&server).map(|h| h.address)) else { return false };
         let next = self.generation.get() + 1;
         self.generation.set(next);
-        // Danger: a new server may stand where one that has gone stood. Connections lead to the old one.
+        // Danger: a new server may have the address of one that is gone. Idle connections lead to the old
+        // one.
         let same = hosts.iter_mut().filter(|(&other, h)| other != server && h.address == address);
         same.for_each(|(_, old)| {
             old.generation = next;
@@ -192,8 +196,8 @@
             idle: Vec::new(),
             more: first(address),
         });
-        let another = then(&mut host.more, address);
-        if host.address != address || another {
+        let restarted = then(&mut host.more, address);
+        if host.address != address || restarted {
             (host.address, host.generation) = (address, next);
             host.idle.clear();
         }
@@ -204,12 +208,12 @@
         true
     }
 
-    /// Forgets all but those that this says so of.
+    /// Removes all servers except those for which `keep` returns true.
     pub fn retain(&self, keep: impl Fn(ServerId) -> bool) {
         self.hosts.borrow_mut().retain(|&server, _| keep(server));
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn remove(&self, server: ServerId) {
         self.hosts.borrow_mut().remove(&server);
     }
--- a/crates/traffic/src/ports.rs
+++ b/crates/traffic/src/ports.rs
@@ -1,7 +1,7 @@
-//! The seams between the node and its peers: what it needs of each, and what they tell it.
+//! The interfaces between the node and its peers: what it needs of each, and which events they report to it.
 //!
-//! The node holds each peer as one of these traits and knows no other thing of it; a peer knows the node as
-//! [`Core`]. A second quota store or member source implements the same trait and nothing else changes.
+//! The node knows each peer only through one of these traits, and a peer knows the node as [`Core`]. A second
+//! quota store or member source implements the same trait, without changes elsewhere.
 
 use bytes::Bytes;
 use mountbend::interface::{CountName, Event, Micros, Outcome, Reason, RequestId, ServerId};
@@ -14,71 +14,77 @@
 use crate::long::Upload;
 use crate::node::STOP_BEFORE;
 
-/// What peers tell the node. It takes each thing in at once; what follows from it may call the peer again
-/// before this returns, so nothing may be borrowed meanwhile.
+/// Events that peers report to the node. It handles each before the call returns, and may call the peer again
+/// meanwhile, so the caller must not hold a `RefCell` borrow across the call.
 pub trait Core {
-    /// Something has happened that the decisions are to know.
+    /// Passes an event to the decisions.
     fn event(&self, event: Event);
-    /// A long body has begun to go to an app server, and can't be sent again; or all of it has gone.
+    /// Forwarding of a streamed body to an app server has begun, so it can't be sent again, or (`whole`) is
+    /// complete.
     fn upload_goes(&self, id: &RequestId, number: usize, whole: bool);
-    /// Whether the decisions send an app server nothing new for now, though it is in service.
+    /// Whether the decisions currently send nothing new to an app server, though it is in service.
     fn avoids(&self, server: ServerId) -> bool;
 }
 
-/// How the attempts at a kind of traffic end, as its upstream tells the node.
+/// Results of attempts of one kind of traffic, reported to the node by its upstream.
 pub trait Ends<T: Traffic>: Core {
-    /// An attempt has ended; with an answer, it has served the request. A second end of the same one is dropped.
+    /// An attempt has ended; if there is an answer, the request has been served. A second end of the same
+    /// attempt is ignored.
     fn attempt_over(&self, id: &RequestId, number: usize, outcome: Outcome, answer: Option<T::Whole>);
-    /// An attempt's long answer has begun, and goes to the client as it comes; false if nobody waits for it.
+    /// An attempt's streamed answer has begun and is forwarded to the client; false if no client waits for
+    /// it.
     fn answer_begins(&self, id: &RequestId, number: usize, answer: T::Long) -> bool;
-    /// An attempt's request is about to be written: earlier attempts that it takes the place of end.
+    /// An attempt's request is about to be written: the earlier attempts that it replaces end.
     fn attempt_goes(&self, _id: &RequestId, _number: usize) {}
 }
 
-/// A kind of traffic: what goes on to its servers, and what comes back.
+/// A kind of traffic: the types of its requests and answers, and its rules for attempts.
 pub trait Traffic: 'static {
-    /// What goes on to a server.
+    /// The request that is forwarded to a server.
     type Forward: 'static;
-    /// An answer that has come whole.
+    /// A complete answer.
     type Whole: 'static;
-    /// An answer that is passed on as it comes.
+    /// A streamed answer.
     type Long: 'static;
-    /// When attempts at a request that is due at this time are given up.
+    /// When attempts at a request with the deadline `due` are given up.
     fn stop(forward: &Self::Forward, due: Micros) -> Micros;
-    /// Most attempts for this one; none: as many as the node makes for any.
+    /// Maximum number of attempts for this request; none: the node's default.
     fn tries(forward: &Self::Forward) -> Option<usize>;
-    /// Whether attempts at this one are broken off once nobody waits for its answer, so that its server stops.
+    /// Whether attempts at this request are aborted once no client waits for its answer, so that the server
+    /// stops working on it.
     fn stops_when_gone(_forward: &Self::Forward) -> bool {
         false
     }
-    /// Whether an attempt at a silent server goes on until another one is written: with no other, its answer still counts.
+    /// Whether a cancelled attempt at a silent server continues until another attempt is written. If none is,
+    /// its answer still counts.
     fn outlasts_cancel(_forward: &Self::Forward) -> bool {
         false
     }
 }
 
-/// Where the shared counts live: an amount is added to a named count in one step, and its total comes back.
+/// The store of the shared counters: adds an amount to a named counter atomically and returns the total.
 pub trait QuotaStore {
-    /// Adds `amount` units to a name that, if new, is kept for `keep_for` microseconds. Told once, as
-    /// [`Event::CounterReply`], at the store's time-out at the latest: `Ok` (added; the total), `Rejected` and
-    /// `ConnectFailed` (nothing was added), `TimedOut` (it may have been, or may yet be), `Reset` (it may have
-    /// been, and the store is alive), `Error` (it was, but the total can't be read).
+    /// Adds `amount` units to a counter that, if new, is kept for `keep_for` microseconds. The outcome is
+    /// reported once, as [`Event::CounterReply`], no later than the store's time-out: `Ok` (added; the
+    /// total), `Rejected` and `ConnectFailed` (nothing was added), `TimedOut` (it may have been added, or may
+    /// be added later), `Reset` (it may have been added, and the store is alive), `Error` (it was added, but
+    /// the total can't be read).
     fn add(&self, name: CountName, amount: f64, keep_for: Micros);
-    /// Whether the outcome of every call has been told.
+    /// Whether the outcome of every call has been reported.
     fn settled(&self) -> bool;
 }
 
-/// Who tells of app servers. What it hears goes to the node as [`Event::Members`].
+/// A source of the list of app servers. It reports changes to the node as [`Event::Members`].
 pub trait MemberSource {
-    /// Asks for the whole list once more; told as a whole list, or as lost.
+    /// Requests the complete list again; the result is reported as a complete list or as lost.
     fn fetch(&self);
 }
 
-/// The app servers: where they are, and attempts at them.
+/// The app servers: their addresses, and attempts at them.
 pub trait Upstream<T: Traffic> {
-    /// Starts an attempt, to be given up at `stop`; told once through [`Ends::attempt_over`]. Nothing is sent
-    /// again once a byte may have gone. Aborting the task closes its connection: so an app server learns that
-    /// the attempt is given up.
+    /// Starts an attempt, to be given up at `stop`; its end is reported once through [`Ends::attempt_over`].
+    /// Nothing is sent again once a byte may have been written. Aborting the task closes its connection,
+    /// which tells the app server that the attempt was given up.
     fn attempt(
         &self,
         id: RequestId,
@@ -87,35 +93,36 @@
         forward: Rc<T::Forward>,
         stop: Micros,
     ) -> AbortHandle;
-    /// Whether another attempt at a request would be made. An attempt is not given up on for a silent server's sake where
-    /// none would.
+    /// Whether another attempt at a request would be made. If not, an attempt is not given up because its
+    /// server is silent.
     fn goes_on(&self, forward: &T::Forward) -> bool;
-    /// Asks an app server whether it is alive; told as [`Event::Probed`].
+    /// Checks whether an app server is alive; reported as [`Event::Probed`].
     fn probe(&self, server: ServerId);
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 pub enum Answer<T: Traffic> {
     /// An app server's answer.
     Served(T::Whole),
-    /// An app server's answer that is passed on as it comes.
+    /// An app server's streamed answer.
     Long(T::Long),
-    /// Turned away: a repeat is harmless. How long to stay away, in microseconds, if told; else 0. And why.
+    /// Rejected without execution, so a retry is safe: the suggested delay before it in microseconds (0 if
+    /// none), and the reason.
     Refused(Micros, Reason),
-    /// Failed, nothing promised, and why.
+    /// Failed, and the reason. The request may have been executed.
     Failed(Reason),
 }
 
 /// A request's body.
 pub enum Payload {
-    /// All of it has come, and it may be sent again.
+    /// A buffered body, which may be sent again.
     Whole(Bytes),
-    /// It is passed on as it comes, once.
+    /// A streamed body, which can be sent only once.
     Long(Rc<Upload>),
 }
 
 impl Payload {
-    /// One that is passed on as it comes.
+    /// The streamed body, if it is one.
     pub fn long(&self) -> Option<&Rc<Upload>> {
         match self {
             Payload::Whole(_) => None,
@@ -123,8 +130,8 @@
         }
     }
 
-    /// When attempts at a request with it that is due at this time are given up: a long one's time counts from its last
-    /// byte, and the attempt looks to it.
+    /// When attempts at a request with the deadline `due` are given up. The time limit of a streamed body
+    /// counts from its last byte and is enforced by the attempt itself.
     pub fn stop(&self, due: Micros) -> Micros {
         match self {
             Payload::Whole(_) => due.saturating_sub(STOP_BEFORE),
@@ -132,12 +139,13 @@
         }
     }
 
-    /// Until when a connection is waited for by an attempt that begins now: a long one's own pace bounds it else.
+    /// How long a new attempt waits for a connection; a streamed body may outlast `stop`, so its own wait
+    /// limits it.
     pub fn connect_by(&self, stop: Instant) -> Instant {
         self.long().map_or(stop, |upload| Instant::now() + upload.wait)
     }
 
-    /// Comes back when `before` is left of the time of a request with it, which is up at `until` if it is a whole one.
+    /// Returns when `before` is left of the request's time, which ends at `until` for a buffered body.
     pub async fn time_up(&self, until: Instant, before: Duration) {
         match self.long() {
             None => sleep_until(until).await,
@@ -145,18 +153,19 @@
         }
     }
 
-    /// For an attempt; none if an earlier one has taken of it. `core` is told how far a long one goes.
+    /// The body for an attempt; none if an earlier attempt has taken some of it. Reports the progress of a
+    /// streamed body to `core`.
     pub fn body<T: Traffic>(&self, core: &Weak<dyn Ends<T>>, id: &RequestId, number: usize) -> Option<Sent> {
         let upload = match self {
             Payload::Whole(body) => return Some(body.clone().into()),
             Payload::Long(upload) => upload,
         };
         let (core, id) = (core.clone(), id.clone());
-        let goes = move |whole| {
+        let report_progress = move |whole| {
             if let Some(core) = core.upgrade() {
                 core.upload_goes(&id, number, whole);
             }
         };
-        upload.body(goes).map(Sent::Long)
+        upload.body(report_progress).map(Sent::Long)
     }
 }
--- a/crates/traffic/src/reuse.rs
+++ b/crates/traffic/src/reuse.rs
@@ -1,32 +1,34 @@
-//! How long a connection may have stood idle and still be used again, learned from how requests on it end.
+//! Learns up to which idle age a connection can be reused, from how requests on reused connections end.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// Idle ages are told apart by half octaves, from under a millisecond to about a minute.
-const STEPS: usize = 32;
-/// What a new connection costs, its handshake and the app server's work for it, in breaks of a request.
-const PRICE: f64 = 0.05;
-/// Breaks saved beyond the price from which on older connections are passed over.
-const EVIDENCE: f64 = 2.0;
-/// What counts are still worth a second later.
-const FADE: f64 = 0.92;
+/// Idle ages are bucketed by half octaves, from below a millisecond to about a minute.
+const AGE_BUCKETS: usize = 32;
+/// Cost of a new connection (handshake and the app server's work for it), as a fraction of a broken request.
+const NEW_CONNECTION_COST: f64 = 0.05;
+/// Breaks saved, net of the cost of new connections, from which on older connections are skipped.
+const MIN_BREAKS_SAVED: f64 = 2.0;
+/// Decay factor of the counts per second.
+const DECAY_PER_SECOND: f64 = 0.92;
 
-/// Requests that ended on connections of one age, and those that a break ended before a byte came back.
+/// Requests that ended on connections of one age bucket, and those of them that a connection failure ended
+/// before a byte of the answer came.
 #[derive(Clone, Copy, Default)]
-struct Ends {
+struct EndCounts {
     all: f64,
     broken: f64,
 }
 
-/// The age up to which connections are used again. Danger: app servers, or what lies before them, that drop
-/// idle connections long before they say so. The end shows only once a request has been written, and what may
-/// have run is lost. Guards too against a middlebox that forgets its idle flows. It does harm where old
-/// connections break by chance for a while: each request then pays for a new one until the counts have faded.
+/// The idle age up to which connections are reused. Danger: app servers, or middleboxes before them, may drop
+/// idle connections long before they announce it. That shows only once a request has been written, and a
+/// request that may have run is lost. The limit also covers a middlebox that forgets idle flows. Drawback: if
+/// old connections break by chance for a while, each request pays for a new connection until the counts have
+/// decayed.
 pub struct Reuse {
-    fresh: Cell<Ends>,
-    aged: RefCell<[Ends; STEPS]>,
-    /// Ages from this step on are not used again.
+    fresh: Cell<EndCounts>,
+    aged: RefCell<[EndCounts; AGE_BUCKETS]>,
+    /// Ages from this bucket on are not reused.
     limit: Cell<usize>,
 }
 
@@ -37,24 +39,25 @@
 }
 
 impl Reuse {
-    /// Nothing is known yet: any age will do.
+    /// Starts without observations: any age may be reused.
     pub fn new() -> Self {
-        Reuse { fresh: Cell::default(), aged: RefCell::default(), limit: Cell::new(STEPS) }
+        Reuse { fresh: Cell::default(), aged: RefCell::default(), limit: Cell::new(AGE_BUCKETS) }
     }
 
-    /// Whether a connection that has stood idle for so long should be used again.
+    /// Whether a connection that has been idle for `idle` should be reused.
     pub fn allows(&self, idle: Duration) -> bool {
-        step(idle) < self.limit.get()
+        age_bucket(idle) < self.limit.get()
     }
 
-    /// A request on a connection of this idle age (none: a new one) ended, by a break before any answer or not.
+    /// Records the end of a request on a connection of this idle age (`None`: a new connection); `broken` if
+    /// the connection failed before any byte of the answer.
     pub fn ended(&self, idle: Option<Duration>, broken: bool) {
-        let add = |e: &mut Ends| {
+        let add = |e: &mut EndCounts| {
             e.all += 1.0;
             e.broken += f64::from(u8::from(broken));
         };
         match idle {
-            Some(idle) => add(&mut self.aged.borrow_mut()[step(idle)]),
+            Some(idle) => add(&mut self.aged.borrow_mut()[age_bucket(idle)]),
             None => {
                 let mut fresh = self.fresh.get();
                 add(&mut fresh);
@@ -62,38 +65,42 @@
             }
         }
         if broken {
-            self.judge();
+            self.update_limit();
         }
     }
 
-    /// A second has passed. What is no longer used is no longer counted: as counts fade, it is tried again.
+    /// Decays the counts; called once per second. Ages that are not reused get no new observations, so they
+    /// are tried again once their counts have decayed.
     pub fn fade(&self) {
-        let fade = |e: &mut Ends| *e = Ends { all: e.all * FADE, broken: e.broken * FADE };
+        let decay = |e: &mut EndCounts| {
+            *e = EndCounts { all: e.all * DECAY_PER_SECOND, broken: e.broken * DECAY_PER_SECOND }
+        };
         let mut fresh = self.fresh.get();
-        fade(&mut fresh);
+        decay(&mut fresh);
         self.fresh.set(fresh);
-        self.aged.borrow_mut().iter_mut().for_each(fade);
-        self.judge();
+        self.aged.borrow_mut().iter_mut().for_each(decay);
+        self.update_limit();
     }
 
-    /// The age from which on new connections save the most breaks, less their price; none if too few are seen.
-    fn judge(&self) {
+    /// Sets the limit to the age from which on new connections save the most breaks net of their cost; no
+    /// limit if too few breaks were seen.
+    fn update_limit(&self) {
         let fresh = self.fresh.get();
-        let price = fresh.broken / (fresh.all + 1.0) + PRICE;
-        let (mut saved, mut most, mut limit) = (0.0, EVIDENCE, STEPS);
-        for (step, ends) in self.aged.borrow().iter().enumerate().rev() {
-            saved += ends.broken - price * ends.all;
-            if saved > most {
-                (most, limit) = (saved, step);
+        let cost = fresh.broken / (fresh.all + 1.0) + NEW_CONNECTION_COST;
+        let (mut saved, mut max_saved, mut limit) = (0.0, MIN_BREAKS_SAVED, AGE_BUCKETS);
+        for (bucket, ends) in self.aged.borrow().iter().enumerate().rev() {
+            saved += ends.broken - cost * ends.all;
+            if saved > max_saved {
+                (max_saved, limit) = (saved, bucket);
             }
         }
         self.limit.set(limit);
     }
 }
 
-fn step(idle: Duration) -> usize {
-    let steps = 2.0 * (idle.as_secs_f64() * 1e3).max(1.0).log2();
-    (steps as usize).min(STEPS - 1)
+fn age_bucket(idle: Duration) -> usize {
+    let buckets = 2.0 * (idle.as_secs_f64() * 1e3).max(1.0).log2();
+    (buckets as usize).min(AGE_BUCKETS - 1)
 }
 
 #[cfg(test)]
@@ -101,11 +108,11 @@
     use super::*;
 
     #[test]
-    fn ages_that_break_are_passed_over_until_that_is_long_ago() {
+    fn ages_that_break_are_skipped_until_the_counts_decay() {
         let reuse = Reuse::new();
         let (young, old) = (Duration::from_millis(20), Duration::from_millis(200));
         for number in 0..60 {
-            // A part of all breaks, whatever the age.
+            // The same share of breaks at either age.
             reuse.ended(None, number % 20 == 0);
             reuse.ended(Some(young), number % 20 == 0);
         }
@@ -119,7 +126,7 @@
     }
 
     #[test]
-    fn new_connections_that_break_as_often_are_no_better() {
+    fn ages_that_break_no_more_than_new_connections_are_reused() {
         let reuse = Reuse::new();
         for number in 0..90 {
             reuse.ended(None, number % 3 == 0);
--- a/crates/traffic/src/room.rs
+++ b/crates/traffic/src/room.rs
@@ -1,120 +1,126 @@
-//! Memory for bodies: how much of one may be taken in ahead, and whether one more long one may be passed on.
+//! Memory limit for buffered bodies: how much of a body may be buffered ahead, and whether one more body may
+//! be streamed.
 //!
-//! All bodies share one room. What is taken in ahead of one may be an eighth of what is free (a dynamic threshold, as
-//! switches share buffers: Choudhury and Hahne, IEEE/ACM Transactions on Networking 6 (2), 1998): one body alone gets all
-//! that it wants, and however many stall together, some of the room stays free.
+//! All bodies share one limit. Each may buffer an eighth of what is free (a dynamic threshold, as switches
+//! share buffers: Choudhury and Hahne, IEEE/ACM Transactions on Networking 6 (2), 1998): a single body gets
+//! all that it asks for, and however many stall together, some memory stays free.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-use crate::long::LONGEST;
+use crate::long::DEFAULT_MAX_BODY_BYTES;
 
-/// A body may have this part of what is free taken in ahead.
-const PART: usize = 8;
-/// What a long body holds on its way, in bytes: a buffer of 16 KiB on either side.
-const PIPE: usize = 32 * 1024;
-/// The part of the process's memory that is for bodies; as much for those of the process beside it in an upgrade, and half
-/// for all else.
-const OF_MEMORY: usize = 4;
+/// A body may buffer at most the free memory divided by this.
+const FREE_DIVISOR: usize = 8;
+/// Bytes reserved for a streamed body: a buffer of 16 KiB on either side.
+const STREAM_BUFFERS: usize = 32 * 1024;
+/// The process's memory divided by this is for bodies: a quarter for its own, a quarter for those of the
+/// second process during an upgrade, and half for everything else.
+const MEMORY_DIVISOR: usize = 4;
 
-/// The room that bodies share.
+/// The memory that all bodies share.
 #[derive(Clone)]
-pub struct Room(Arc<Share>);
+pub struct Room(Arc<Usage>);
 
-struct Share {
-    most: usize,
-    longest: AtomicU64,
-    held: AtomicUsize,
+struct Usage {
+    capacity: usize,
+    max_body_bytes: AtomicU64,
+    reserved: AtomicUsize,
 }
 
-/// Bytes of the room; free again when dropped.
+/// Reserved bytes; released when dropped.
 pub struct Hold {
     room: Room,
     bytes: usize,
 }
 
 impl Room {
-    /// The room of a process that may hold so many MiB.
+    /// The body memory of a process with a memory limit of `memory_mb` MiB.
     pub fn of(memory_mb: usize) -> Room {
-        Room::sized(memory_mb.saturating_mul(1024 * 1024) / OF_MEMORY)
+        Room::with_capacity(memory_mb.saturating_mul(1024 * 1024) / MEMORY_DIVISOR)
     }
 
-    fn sized(most: usize) -> Room {
-        Room(Arc::new(Share { most, longest: AtomicU64::new(LONGEST), held: AtomicUsize::new(0) }))
+    fn with_capacity(capacity: usize) -> Room {
+        Room(Arc::new(Usage {
+            capacity,
+            max_body_bytes: AtomicU64::new(DEFAULT_MAX_BODY_BYTES),
+            reserved: AtomicUsize::new(0),
+        }))
     }
 
-    /// The most bytes that one body may have.
-    pub fn longest(&self) -> u64 {
-        self.0.longest.load(Ordering::Relaxed)
+    /// Maximum length of a body, in bytes.
+    pub fn max_body_bytes(&self) -> u64 {
+        self.0.max_body_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bodies may have so many bytes from now on.
-    pub fn lengthen(&self, longest: u64) {
-        self.0.longest.store(longest, Ordering::Relaxed);
+    /// Sets the maximum length of a body, in bytes.
+    pub fn lengthen(&self, max_body_bytes: u64) {
+        self.0.max_body_bytes.store(max_body_bytes, Ordering::Relaxed);
     }
 
     fn free(&self) -> usize {
-        self.0.most.saturating_sub(self.0.held.load(Ordering::Relaxed))
+        self.0.capacity.saturating_sub(self.0.reserved.load(Ordering::Relaxed))
     }
 
-    /// Holds nothing yet.
-    pub fn hold(&self) -> Hold {
+    /// An empty reservation.
+    pub fn reservation(&self) -> Hold {
         Hold { room: self.clone(), bytes: 0 }
     }
 
-    /// What one more long request holds on its way, if there is room for it.
+    /// Reserves the buffers of one more streamed request, if enough memory is free.
     pub fn pipe(&self) -> Option<Hold> {
-        (self.free() >= PIPE).then(|| self.pipe_at_once())
+        (self.free() >= STREAM_BUFFERS).then(|| self.pipe_at_once())
     }
 
-    /// What one more long answer holds on its way. Its request may have run: it is passed on, room or not.
+    /// Reserves the buffers of one more streamed answer, free or not: its request may have run, so it has to
+    /// be delivered.
     pub fn pipe_at_once(&self) -> Hold {
-        let mut hold = self.hold();
-        hold.add(PIPE);
-        hold
+        let mut reservation = self.reservation();
+        reservation.add(STREAM_BUFFERS);
+        reservation
     }
 }
 
 impl Hold {
-    /// So many bytes more have come.
+    /// Reserves `bytes` more bytes, which have been received already.
     pub fn add(&mut self, bytes: usize) {
         self.bytes += bytes;
-        self.room.0.held.fetch_add(bytes, Ordering::Relaxed);
+        self.room.0.reserved.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// The most bytes that the body may have.
-    pub fn longest(&self) -> u64 {
-        self.room.longest()
+    /// Maximum length of the body, in bytes.
+    pub fn max_body_bytes(&self) -> u64 {
+        self.room.max_body_bytes()
     }
 
-    /// Whether more of the same body may be taken in ahead.
+    /// Whether more of the same body may be buffered.
     pub fn may_grow(&self) -> bool {
-        self.bytes <= self.room.free() / PART
+        self.bytes <= self.room.free() / FREE_DIVISOR
     }
 
-    /// These bytes, which hold the room for as long as any of them is kept.
-    pub fn around(self, bytes: Bytes) -> Bytes {
+    /// Ties the reservation to `bytes`: it is released when the last clone or slice of them is dropped.
+    pub fn attach_to(self, bytes: Bytes) -> Bytes {
         if bytes.is_empty() {
             return bytes;
         }
-        Bytes::from_owner(Held { bytes, _hold: self })
+        Bytes::from_owner(ReservedBytes { bytes, _reservation: self })
     }
 }
 
 impl Drop for Hold {
     fn drop(&mut self) {
-        self.room.0.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.room.0.reserved.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-struct Held {
+struct ReservedBytes {
     bytes: Bytes,
-    _hold: Hold,
+    _reservation: Hold,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
@@ -124,42 +130,45 @@
 mod tests {
     use super::*;
 
-    /// Takes in pieces of 1 KiB of each of so many bodies in turn until none may grow.
+    /// Adds 1 KiB to each of `bodies` reservations in turn until none may grow.
     fn stall(room: &Room, bodies: usize) -> Vec<Hold> {
-        let mut holds: Vec<Hold> = (0..bodies).map(|_| room.hold()).collect();
+        let mut reservations: Vec<Hold> = (0..bodies).map(|_| room.reservation()).collect();
         loop {
             let mut grown = false;
-            for hold in holds.iter_mut().filter(|hold| hold.may_grow() && hold.bytes < 64 * 1024) {
-                hold.add(1024);
+            for reservation in reservations
+                .iter_mut()
+                .filter(|reservation| reservation.may_grow() && reservation.bytes < 64 * 1024)
+            {
+                reservation.add(1024);
                 grown = true;
             }
             if !grown {
-                return holds;
+                return reservations;
             }
         }
     }
 
     #[test]
-    fn however_many_stall_together_some_room_stays_free() {
+    fn some_memory_stays_free_however_many_bodies_stall() {
         for bodies in [1, 10, 100, 1_000] {
-            let room = Room::sized(2_000_000);
-            let holds = stall(&room, bodies);
-            assert!(room.free() > 0, "{bodies} bodies hold all of it");
+            let room = Room::with_capacity(2_000_000);
+            let reservations = stall(&room, bodies);
+            assert!(room.free() > 0, "{bodies} bodies reserve all memory");
             assert!(
-                bodies > 10 || holds.iter().all(|hold| hold.bytes == 64 * 1024),
-                "{bodies}: none in need"
+                bodies > 10 || reservations.iter().all(|reservation| reservation.bytes == 64 * 1024),
+                "{bodies}: each body gets all that it asks for"
             );
-            drop(holds);
+            drop(reservations);
             assert_eq!(room.free(), 2_000_000);
         }
     }
 
     #[test]
-    fn bytes_hold_the_room_until_the_last_of_them_is_dropped() {
-        let room = Room::sized(100_000);
-        let mut hold = room.hold();
-        hold.add(5);
-        let bytes = hold.around(Bytes::from_static(b"hello"));
+    fn a_reservation_lasts_until_the_last_slice_is_dropped() {
+        let room = Room::with_capacity(100_000);
+        let mut reservation = room.reservation();
+        reservation.add(5);
+        let bytes = reservation.attach_to(Bytes::from_static(b"hello"));
         let part = bytes.slice(1..3);
         drop(bytes);
         assert_eq!((part.as_ref(), room.free()), (&b"el"[..], 99_995));
@@ -168,15 +177,15 @@
     }
 
     #[test]
-    fn a_long_request_finds_room_or_none_and_a_long_answer_always_goes_on() {
-        let room = Room::sized(2 * PIPE);
+    fn a_streamed_request_needs_free_memory_and_a_streamed_answer_does_not() {
+        let room = Room::with_capacity(2 * STREAM_BUFFERS);
         let first = room.pipe();
         let answer = room.pipe_at_once();
         assert!(first.is_some() && room.pipe().is_none());
         let beyond = room.pipe_at_once();
         drop((first, answer));
-        assert!(room.pipe().is_some(), "one is left of three");
+        assert!(room.pipe().is_some(), "one of three is still reserved");
         drop(beyond);
-        assert_eq!(room.free(), 2 * PIPE);
+        assert_eq!(room.free(), 2 * STREAM_BUFFERS);
     }
 }
--- a/crates/traffic/src/vigil.rs
+++ b/crates/traffic/src/vigil.rs
@@ -1,8 +1,8 @@
-//! Notices that this process has stood still, and keeps attempts back until it has heard what it was told meanwhile.
+//! Detects that this process was stalled, and delays new attempts until pending input has been processed.
 //!
-//! A process that gets a part of a core, or whose machine is busy, stands still for seconds at times. When it goes on, its
-//! sockets are looked at in the order in which they became readable: a client's request may come before the operator's call
-//! or the change of the list that forbids its app server, though that was told long ago.
+//! A process on a shared core or a busy machine may not run for seconds. When it resumes, sockets are handled
+//! in the order in which they became readable: a client's request may come before the operator's call or the
+//! discovery update that forbids its app server, although that was sent long before.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,85 +11,86 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// How often the process proves that it goes on.
+/// Interval of the ticks that show that the process runs.
 pub const TICK: Duration = Duration::from_millis(250);
-/// So much later it has stood still. With the tick that is less than the 0.5 s in which nothing new has to go to an app server
-/// that drains.
-const LATE: Duration = Duration::from_millis(150);
-/// Looks at all sockets until what lay unread has been acted upon: a call is accepted, then read, then done; and one to spare.
-const LOOKS: usize = 4;
-/// How long the other processes' records are waited for: their reading may wait for the disk.
-const RECORDS_WAIT: Duration = Duration::from_millis(50);
+/// A tick this late counts as a stall. Together with the tick interval it is less than the 0.5 s within which
+/// a draining app server must stop receiving new requests.
+const STALL_THRESHOLD: Duration = Duration::from_millis(150);
+/// Polls of all sockets until pending input has been acted upon: accept a call, read it, carry it out, and
+/// one spare.
+const CATCH_UP_POLLS: usize = 4;
+/// How long to wait for the records of the other processes: reading them may wait for the disk.
+const RECORDS_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Where a process stands between two ticks: no clock, no I/O.
+/// The state between two ticks, without clock and I/O.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct State {
-    /// Since the last tick.
-    ticked: Duration,
-    /// It has stood still and has not heard all yet.
+    /// Time since the last tick.
+    since_tick: Duration,
+    /// The process was stalled and has not processed all pending input yet.
     behind: bool,
 }
 
 impl State {
-    /// Whether it may have been told what it has not heard.
+    /// Whether unprocessed input may be pending.
     fn behind(self) -> bool {
-        self.behind || self.ticked > TICK + LATE
+        self.behind || self.since_tick > TICK + STALL_THRESHOLD
     }
 }
 
-/// Watches over one process.
+/// Detects stalls of one process.
 pub struct Vigil {
-    last: Cell<Instant>,
+    last_tick: Cell<Instant>,
     behind: Cell<bool>,
-    /// Other processes of this node may have been told what this one was not.
+    /// Other processes of this node may have received input that this one has not.
     others: Cell<bool>,
     looked: Notify,
 }
 
 impl Vigil {
-    /// One that begins now. Somebody has to call [`Vigil::tick`] each [`TICK`].
+    /// Starts now. The caller has to call [`Vigil::tick`] once per [`TICK`].
     pub fn new() -> Rc<Vigil> {
         Rc::new(Vigil {
-            last: Cell::new(Instant::now()),
+            last_tick: Cell::new(Instant::now()),
             behind: Cell::new(false),
             others: Cell::new(false),
             looked: Notify::new(),
         })
     }
 
-    /// Whether it may have been told what it has not heard yet.
+    /// Whether the process was stalled and unprocessed input may be pending.
     pub fn behind(&self) -> bool {
-        State { ticked: self.last.get().elapsed(), behind: self.behind.get() }.behind()
+        State { since_tick: self.last_tick.get().elapsed(), behind: self.behind.get() }.behind()
     }
 
-    /// It goes on. After a standstill this comes back once all has been heard.
+    /// Records that the process runs. After a stall this returns once all pending input has been processed.
     pub async fn tick(&self) {
         if self.behind() {
             self.behind.set(true);
             self.caught_up().await;
             self.behind.set(false);
         }
-        self.last.set(Instant::now());
+        self.last_tick.set(Instant::now());
     }
 
-    /// Comes back once all that was told while the process stood still has been heard; at once if it has not.
+    /// Returns once all input that arrived during a stall has been processed; at once if there was no stall.
     pub async fn caught_up(&self) {
         if !self.behind() {
             return;
         }
-        // Made before the looks: what is found during them counts.
+        // Registered before the polls, so that records read during them count.
         let looked = self.looked.notified();
-        for _ in 0..LOOKS {
-            // Runs again after the next look at the sockets, behind all that it woke.
+        for _ in 0..CATCH_UP_POLLS {
+            // Resumes after the next poll of the sockets, behind every task that the poll woke.
             tokio::task::yield_now().await;
         }
         if self.others.get() {
-            // A disk that stands still must not hold requests for longer.
-            let _ = timeout(RECORDS_WAIT, looked).await;
+            // A stalled disk must not delay requests for longer.
+            let _ = timeout(RECORDS_TIMEOUT, looked).await;
         }
     }
 
-    /// The records of the other processes have been read; there are some, or not.
+    /// The records of the other processes have been read; `others` tells whether there are such processes.
     pub fn looked(&self, others: bool) {
         self.others.set(others);
         self.looked.notify_waiters();
@@ -104,14 +105,14 @@
     use std::task::{Context, Waker};
 
     #[test]
-    fn a_tick_that_is_late_means_a_standstill_until_all_is_heard() {
-        let state = |ms, behind| State { ticked: Duration::from_millis(ms), behind }.behind();
+    fn a_late_tick_means_a_stall_until_all_input_is_processed() {
+        let state = |ms, behind| State { since_tick: Duration::from_millis(ms), behind }.behind();
         assert!(!state(0, false) && !state(400, false));
         assert!(state(401, false) && state(0, true));
     }
 
     #[tokio::test(start_paused = true)]
-    async fn after_a_standstill_the_other_processes_are_heard_too() {
+    async fn after_a_stall_the_other_processes_records_are_awaited() {
         let vigil = Vigil::new();
         vigil.tick().await;
         assert!(!vigil.behind());
@@ -130,13 +131,13 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn records_that_cannot_be_read_hold_it_up_for_a_moment() {
+    async fn unreadable_records_delay_it_by_the_timeout_only() {
         let vigil = Vigil::new();
         vigil.looked(true);
         tokio::time::advance(Duration::from_millis(500)).await;
         let begun = Instant::now();
         vigil.tick().await;
-        assert_eq!(begun.elapsed().as_millis(), RECORDS_WAIT.as_millis());
+        assert_eq!(begun.elapsed().as_millis(), RECORDS_TIMEOUT.as_millis());
         assert!(!vigil.behind());
     }
 }
--- a/crates/traffic/src/wire.rs
+++ b/crates/traffic/src/wire.rs
@@ -1,4 +1,4 @@
-//! The heads of a connection's requests as they came: what the parser drops of them is seen here alone.
+//! Tracks the raw request heads of a connection, to see what the HTTP parser drops.
 
 use std::cell::{Cell, RefCell};
 
@@ -6,37 +6,37 @@
 use hyper::header::TRANSFER_ENCODING;
 use hyper::{Request, Uri};
 
-use crate::front::HEAD_MOST;
+use crate::front::MAX_HEAD_BYTES;
 
-/// The heads of a connection's requests as they came. The parser drops a length that stands beside chunks; whether there
-/// was one is seen only here.
+/// The raw request heads of a connection. The parser drops a Content-Length next to chunked coding, so only
+/// the raw bytes show whether there was one.
 #[derive(Default)]
 pub struct Wire {
-    /// What has come since the last request ended, while it may belong to a head.
+    /// Bytes received since the last request ended, as long as they may belong to a head.
     head: RefCell<Vec<u8>>,
-    /// Bytes of the present body that are yet to come.
-    skip: Cell<u64>,
-    /// The head of the present request names a length, though its body comes in chunks.
-    length: Cell<bool>,
-    /// A line of it ends without CR, or goes on in the next.
-    odd: Cell<bool>,
-    /// What it asks for was read as something else than what was sent.
-    changed: Cell<bool>,
+    /// Bytes of the current body that have not been received yet; `u64::MAX` for a chunked one.
+    body_left: Cell<u64>,
+    /// The head of the current request has a Content-Length, though its body is chunked.
+    has_length: Cell<bool>,
+    /// A line of the head ends without CR or is continued on the next line.
+    has_odd_lines: Cell<bool>,
+    /// The parsed request target differs from the one that was sent.
+    has_changed_target: Cell<bool>,
 }
 
 impl Wire {
-    /// Bytes have come.
+    /// Records received bytes.
     pub(crate) fn read(&self, mut bytes: &[u8]) {
-        let skipped = self.skip.get().min(bytes.len() as u64);
-        self.skip.set(self.skip.get() - skipped);
+        let skipped = self.body_left.get().min(bytes.len() as u64);
+        self.body_left.set(self.body_left.get() - skipped);
         bytes = &bytes[skipped as usize..];
         let mut head = self.head.borrow_mut();
-        // The parser reads no further ahead than a head may be long, and one buffer more.
-        let room = (2 * HEAD_MOST).saturating_sub(head.len());
-        head.extend_from_slice(&bytes[..bytes.len().min(room)]);
+        // The parser reads at most one buffer beyond the maximum head length.
+        let free = (2 * MAX_HEAD_BYTES).saturating_sub(head.len());
+        head.extend_from_slice(&bytes[..bytes.len().min(free)]);
     }
 
-    /// A request's head has come: what is left over is of its body, or of the next one.
+    /// A request head has been parsed: the remaining bytes belong to its body or to the next request.
     pub(crate) fn begins(&self, request: &Request<Incoming>) {
         let mut bytes = self.head.borrow_mut();
         let blank = |at: usize| bytes[at..].starts_with(b"\r\n\r\n") || bytes[at..].starts_with(b"\n\n");
@@ -47,50 +47,51 @@
             name.trim_ascii().eq_ignore_ascii_case(b"content-length")
         };
         if request.headers().contains_key(TRANSFER_ENCODING) {
-            self.length.set(bytes[..end].split(|&b| b == b'\n').any(named));
+            self.has_length.set(bytes[..end].split(|&b| b == b'\n').any(named));
         }
         let line = bytes[start..end].split(|&b| b == b'\r').next().unwrap_or_default();
         let target = line.split(|&b| b == b' ').filter(|part| !part.is_empty()).nth(1).unwrap_or_default();
-        self.changed.set(!reads_as(target, request.uri()));
+        self.has_changed_target.set(!is_unchanged(target, request.uri()));
         let lines = bytes[start..end].split(|&b| b == b'\n').skip(1);
         let bare = bytes[start..end].windows(2).any(|two| two[1] == b'\n' && two[0] != b'\r');
-        self.odd.set(bare || bytes[end..].starts_with(b"\n") || lines.into_iter().any(folded));
+        self.has_odd_lines.set(bare || bytes[end..].starts_with(b"\n") || lines.into_iter().any(is_folded));
         let body = request.body().size_hint().exact().unwrap_or(u64::MAX);
         let end = (end + if bytes[end..].starts_with(b"\r") { 4 } else { 2 }).min(bytes.len());
-        let come = (bytes.len() - end) as u64;
-        self.skip.set(body.saturating_sub(come));
-        bytes.drain(..end + body.min(come) as usize);
+        let buffered_body = (bytes.len() - end) as u64;
+        self.body_left.set(body.saturating_sub(buffered_body));
+        bytes.drain(..end + body.min(buffered_body) as usize);
     }
 
-    /// Whether a line of the head ends without CR, or goes on in the next: others may read them otherwise.
+    /// Whether a line of the head ends without CR or is continued on the next line: other parsers may read
+    /// such lines differently.
     pub fn odd_lines(&self) -> bool {
-        self.odd.get()
+        self.has_odd_lines.get()
     }
 
-    /// Whether what the request asks for was read as something else than what was sent: the parser drops a fragment.
+    /// Whether the parsed request target differs from the one that was sent: the parser drops a fragment.
     pub fn target_changed(&self) -> bool {
-        self.changed.get()
+        self.has_changed_target.get()
     }
 
-    /// Whether something of a next request has been read.
+    /// Whether part of a next request has been read.
     pub(crate) fn ahead(&self) -> bool {
-        self.skip.get() == 0 && !self.head.borrow().is_empty()
+        self.body_left.get() == 0 && !self.head.borrow().is_empty()
     }
 
-    /// Whether the head of the request named a length.
+    /// Whether the head of a chunked request also had a Content-Length.
     pub fn names_length(&self) -> bool {
-        self.length.get()
+        self.has_length.get()
     }
 }
 
-/// Whether a request's target, as it was sent, stands unchanged in what the parser made of it.
-fn reads_as(target: &[u8], uri: &Uri) -> bool {
+/// Whether the parsed URI equals the request target as it was sent.
+fn is_unchanged(target: &[u8], uri: &Uri) -> bool {
     match target.first() {
-        Some(b'/') => uri.path_and_query().is_some_and(|read| read.as_str().as_bytes() == target),
+        Some(b'/') => uri.path_and_query().is_some_and(|parsed| parsed.as_str().as_bytes() == target),
         _ => !target.contains(&b'#'),
     }
 }
 
-fn folded(line: &[u8]) -> bool {
+fn is_folded(line: &[u8]) -> bool {
     line.first().is_some_and(|b| matches!(b, b' ' | b'\t'))
 }
--- a/crates/traffic/tests/passage.rs
+++ b/crates/traffic/tests/passage.rs
@@ -1,4 +1,5 @@
-//! When a request can be taken to have been taken by its peer before its answer began.
+//! Guards against reusing a connection whose peer may not have read the whole previous request when it
+//! answered.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use pinerelay_traffic::passage::{Passage, ONE_SEGMENT};
 use tokio::time::Instant;
 
-/// A request of so many bytes, flushed and answered so many milliseconds after its first byte.
+/// A request of `bytes` bytes, flushed and answered that many milliseconds after its first byte was written.
 fn passage(bytes: u64, flushed: u64, answered: u64) -> Passage {
     let begun = Instant::now();
     let after = |ms| Some(begun + Duration::from_millis(ms));
@@ -14,7 +15,7 @@
 }
 
 #[gtest]
-fn a_request_is_taken_once_the_slowest_link_has_carried_it() {
+fn a_request_counts_as_received_once_the_slowest_link_could_carry_it() {
     // 24 kB and a head take 0.097 s at 2 Mbit/s.
     expect_that!(passage(24_300, 0, 98).taken(), eq(true));
     expect_that!(passage(24_300, 0, 97).taken(), eq(false));
@@ -23,13 +24,13 @@
 }
 
 #[gtest]
-fn one_segment_needs_no_time() {
+fn a_request_of_one_segment_counts_as_received_at_once() {
     expect_that!(passage(ONE_SEGMENT, 0, 0).taken(), eq(true));
     expect_that!(passage(ONE_SEGMENT + 1, 0, 0).taken(), eq(false));
 }
 
 #[gtest]
-fn nothing_is_taken_that_had_not_gone_out_when_its_answer_began() {
+fn a_request_not_flushed_before_its_answer_began_is_not_received() {
     expect_that!(passage(300, 2, 1).taken(), eq(false));
     expect_that!(Passage { flushed: None, ..passage(300, 0, 500) }.taken(), eq(false));
     expect_that!(Passage { answered: None, ..passage(300, 0, 500) }.taken(), eq(false));
--- a/crates/traffic/tests/supersede.rs
+++ b/crates/traffic/tests/supersede.rs
@@ -1,4 +1,5 @@
-//! What becomes of an attempt at a silent server that the decisions give up for another one.
+//! Guards against losing the answer of a silent server that was cancelled for another attempt which then gets
+//! no connection, and against leaving the cancelled attempt running once it is replaced.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -13,12 +14,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// How long the silent server works before it answers.
+/// How long the silent server takes to answer.
 const SILENCE: Duration = Duration::from_secs(3);
 
-struct Flow;
+struct TestTraffic;
 
-impl Traffic for Flow {
+impl Traffic for TestTraffic {
     type Forward = Plan;
     type Whole = &'static str;
     type Long = ();
@@ -36,39 +37,39 @@
     }
 }
 
-/// What becomes of the attempts at a request.
+/// How the attempts at a request go.
 #[derive(Clone, Copy, PartialEq)]
 enum Plan {
-    /// The first is answered at once.
+    /// The first attempt is answered at once.
     Quick,
-    /// The first is answered after [`SILENCE`], and no connection comes up for others.
+    /// The first attempt is answered after [`SILENCE`]; the others get no connection.
     SilentThenNone,
-    /// The first is answered after [`SILENCE`], others at once.
+    /// The first attempt is answered after [`SILENCE`], the others at once.
     SilentThenQuick,
 }
 
-/// Tells that a task has ended.
-struct Ended(Rc<Cell<usize>>);
+/// Counts the end of a task when dropped.
+struct EndCounter(Rc<Cell<usize>>);
 
-impl Drop for Ended {
+impl Drop for EndCounter {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
 }
 
 struct Servers {
-    core: Weak<dyn Ends<Flow>>,
+    core: Weak<dyn Ends<TestTraffic>>,
     attempts: RefCell<Vec<usize>>,
     silent_ended: Rc<Cell<usize>>,
 }
 
-impl Upstream<Flow> for Servers {
+impl Upstream<TestTraffic> for Servers {
     fn attempt(&self, id: RequestId, number: usize, _: ServerId, plan: Rc<Plan>, _: Micros) -> AbortHandle {
         if *plan != Plan::Quick {
             self.attempts.borrow_mut().push(number);
         }
         let core = self.core.clone();
-        let silent = (*plan != Plan::Quick && number == 0).then(|| Ended(self.silent_ended.clone()));
+        let silent = (*plan != Plan::Quick && number == 0).then(|| EndCounter(self.silent_ended.clone()));
         let task = tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(5)).await;
             let Some(core) = core.upgrade() else { return };
@@ -92,9 +93,9 @@
     fn probe(&self, _: ServerId) {}
 }
 
-struct Nothing;
+struct NoPeer;
 
-impl QuotaStore for Nothing {
+impl QuotaStore for NoPeer {
     fn add(&self, _: CountName, _: f64, _: Micros) {}
 
     fn settled(&self) -> bool {
@@ -102,17 +103,17 @@
     }
 }
 
-impl MemberSource for Nothing {
+impl MemberSource for NoPeer {
     fn fetch(&self) {}
 }
 
-struct Play {
-    node: Rc<Node<Flow>>,
+struct Fixture {
+    node: Rc<Node<TestTraffic>>,
     servers: Rc<Servers>,
 }
 
-impl Play {
-    fn new() -> Play {
+impl Fixture {
+    fn new() -> Fixture {
         let settings = Settings {
             nodes: 1,
             limits: Limits { cancel: true, try_limit: 3, ..Limits::default() },
@@ -124,7 +125,7 @@
             let upstream =
                 Rc::new(Servers { core, attempts: RefCell::default(), silent_ended: Rc::default() });
             servers = Some(upstream.clone());
-            Peers { upstream, store: Rc::new(Nothing), members: Rc::new(Nothing) }
+            Peers { upstream, store: Rc::new(NoPeer), members: Rc::new(NoPeer) }
         });
         let class = Class {
             on_time: 1_000_000,
@@ -136,10 +137,10 @@
         node.retune(vec![class], 3);
         let member = |n| Member { server: ServerId(n), weight: 4.0, ..Member::default() };
         node.event(Event::Members { kind: ListKind::Complete, entries: (1..4).map(member).collect() });
-        Play { node, servers: servers.expect("made with the node") }
+        Fixture { node, servers: servers.expect("created with the node") }
     }
 
-    async fn ask(&self, number: usize, plan: Plan) -> Option<Answer<Flow>> {
+    async fn send_request(&self, number: usize, plan: Plan) -> Option<Answer<TestTraffic>> {
         let id = RequestId(format!("{number}").into());
         let request = NewRequest {
             id,
@@ -156,41 +157,42 @@
         answer.await.ok()
     }
 
-    /// The fleet answers at once, so that what takes long stands out; then one request meets a silent server.
-    async fn after_quick_ones(&self, plan: Plan) -> Option<Answer<Flow>> {
+    /// All servers answer at once, so that a long answer time stands out; then one request meets a silent
+    /// server.
+    async fn after_quick_ones(&self, plan: Plan) -> Option<Answer<TestTraffic>> {
         for number in 0..300 {
-            let answer = self.ask(number, Plan::Quick).await;
+            let answer = self.send_request(number, Plan::Quick).await;
             assert_that!(matches!(answer, Some(Answer::Served("quick"))), eq(true));
         }
-        self.ask(300, plan).await
+        self.send_request(300, plan).await
     }
 }
 
-fn play(test: impl AsyncFnOnce(Play)) {
+fn run_with_fixture(test: impl AsyncFnOnce(Fixture)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build()
         .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, async { test(Play::new()).await });
+    tokio::task::LocalSet::new().block_on(&runtime, async { test(Fixture::new()).await });
 }
 
 #[gtest]
-fn with_no_connection_for_another_attempt_the_silent_server_s_answer_counts() {
-    play(async |play| {
-        let answer = play.after_quick_ones(Plan::SilentThenNone).await;
-        expect_that!(play.servers.attempts.borrow().len(), gt(1), "it was given up for another");
+fn without_a_connection_for_another_attempt_the_silent_server_s_answer_counts() {
+    run_with_fixture(async |fixture| {
+        let answer = fixture.after_quick_ones(Plan::SilentThenNone).await;
+        expect_that!(fixture.servers.attempts.borrow().len(), gt(1), "it was given up for another");
         expect_that!(matches!(answer, Some(Answer::Served("slow"))), eq(true));
     });
 }
 
 #[gtest]
-fn an_attempt_ends_once_another_takes_its_place() {
-    play(async |play| {
-        let answer = play.after_quick_ones(Plan::SilentThenQuick).await;
+fn a_cancelled_attempt_is_aborted_once_another_is_written() {
+    run_with_fixture(async |fixture| {
+        let answer = fixture.after_quick_ones(Plan::SilentThenQuick).await;
         expect_that!(matches!(answer, Some(Answer::Served("quick"))), eq(true));
-        expect_that!(play.servers.silent_ended.get(), eq(1));
-        expect_that!(*play.servers.attempts.borrow(), elements_are![eq(&0), eq(&1)]);
-        expect_that!(play.node.waited_for(), eq(false));
+        expect_that!(fixture.servers.silent_ended.get(), eq(1));
+        expect_that!(*fixture.servers.attempts.borrow(), elements_are![eq(&0), eq(&1)]);
+        expect_that!(fixture.node.waited_for(), eq(false));
     });
 }
