--- a/crates/protocol/src/classes.rs
+++ b/crates/protocol/src/classes.rs
@@ -1,19 +1,20 @@
-//! The table of classes by number: grown by new settings, so that open requests keep the class they came with.
+//! The numbered table of request classes. New settings only add entries, so that open requests keep their
+//! class.
 
 use mountbend::interface::Class;
 
 use crate::settings::EnvClass;
 
-/// All classes that there are or were, each under the number that the decisions know it by.
+/// All current and former classes; the index is the number by which the decisions know a class.
 #[derive(Debug, Default)]
 pub struct ClassTable {
     entries: Vec<EnvClass>,
 }
 
 impl ClassTable {
-    /// Takes in the classes of new settings and tells the number of each. One that stands there already with the
-    /// same rules keeps its number; one whose rules have changed gets a new one, since a request that is open must
-    /// not change its effect.
+    /// Adds the classes of new settings and returns the number of each. A class that exists with the same
+    /// rules keeps its number; one with changed rules gets a new number, since the effect of an open request
+    /// must not change.
     pub fn take(&mut self, classes: &[EnvClass]) -> Vec<usize> {
         let mut number = |class: &EnvClass| {
             self.entries.iter().position(|known| known == class).unwrap_or_else(|| {
@@ -24,12 +25,12 @@
         classes.iter().map(&mut number).collect()
     }
 
-    /// The names by number.
+    /// The class names by number.
     pub fn names(&self) -> Vec<String> {
         self.entries.iter().map(|c| c.name.clone()).collect()
     }
 
-    /// The whole table, as the decisions are told.
+    /// The complete table in the form that the decisions use.
     pub fn all(&self) -> Vec<Class> {
         self.entries.iter().cloned().map(Class::from).collect()
     }
@@ -46,7 +47,7 @@
     }
 
     #[test]
-    fn numbers_hold_for_good_and_changed_rules_get_a_new_one() {
+    fn numbers_are_permanent_and_changed_rules_get_a_new_one() {
         let mut table = ClassTable::default();
         assert_eq!(table.take(&[class("a", "safe", 9), class("b", "unsafe", 9)]), [0, 1]);
         assert_eq!(
--- a/crates/protocol/src/counter.rs
+++ b/crates/protocol/src/counter.rs
@@ -1,39 +1,39 @@
-//! The counter's calls and answers: RESP2, as one call and one kind of reply use it.
+//! Codec of the counter's calls and replies: the subset of RESP2 that one command and its replies use.
 
 use bytes::{Buf, BytesMut};
 use mountbend::interface::{CountName, Micros};
 
-/// No line of an answer is this long, and no total.
-const LINE_MOST: usize = 512;
-const TOTAL_MOST: usize = 64;
-/// The counter keeps no name for longer, and adds no more.
-const KEEP_MOST_MS: u64 = 60_000;
-const AMOUNT_MOST: f64 = 1e9;
+/// Replies with a longer line, or a longer total, are invalid (bytes).
+const MAX_LINE: usize = 512;
+const MAX_TOTAL_LENGTH: usize = 64;
+/// Maximum retention of a name, in milliseconds, and maximum amount that the counter accepts.
+const MAX_KEEP_MS: u64 = 60_000;
+const MAX_AMOUNT: f64 = 1e9;
 
-/// One call: what to add to which name.
+/// One call: adds an amount to a named counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Add {
-    /// The name.
+    /// The counter's name.
     pub name: CountName,
     /// The amount, in units.
     pub amount: f64,
-    /// How long a new name is kept, in milliseconds.
+    /// How long a new counter is kept, in milliseconds.
     pub keep_ms: u64,
 }
 
 impl Add {
-    /// A call within what the counter takes; none if the amount is no number.
+    /// A call clamped to the counter's limits; none if the amount is not finite.
     pub fn new(name: CountName, amount: f64, keep_for: Micros) -> Option<Add> {
-        let amount = Some(amount).filter(|a| a.is_finite())?.clamp(-AMOUNT_MOST, AMOUNT_MOST);
-        Some(Add { name, amount, keep_ms: (keep_for / 1000).clamp(1, KEEP_MOST_MS) })
+        let amount = Some(amount).filter(|a| a.is_finite())?.clamp(-MAX_AMOUNT, MAX_AMOUNT);
+        Some(Add { name, amount, keep_ms: (keep_for / 1000).clamp(1, MAX_KEEP_MS) })
     }
 }
 
-/// Appends a call as the counter reads it: a RESP2 array of bulk strings.
+/// Appends the encoded call: a RESP2 array of bulk strings.
 pub fn encode(out: &mut BytesMut, call: &Add) {
     use std::fmt::Write;
     let (amount, keep) = (call.amount.to_string(), call.keep_ms.to_string());
-    // Writing to a buffer in memory does not fail.
+    // Writing to a memory buffer can't fail.
     let _ = write!(
         out,
         "*4\r\n$7\r\nINCRTTL\r\n$16\r\n{:016x}\r\n${}\r\n{amount}\r\n${}\r\n{keep}\r\n",
@@ -43,26 +43,26 @@
     );
 }
 
-/// What the counter says to a call.
+/// The counter's reply to a call.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// Added; the total.
+    /// The amount was added; the new total.
     Total(f64),
-    /// Turned away, nothing added.
+    /// Rejected; nothing was added.
     Busy,
 }
 
-/// What came can't be an answer of the counter's; the connection is of no further use.
+/// The received bytes can't be a reply of the counter; the connection must not be used again.
 #[derive(Debug, PartialEq)]
 pub struct Garbage;
 
-/// Takes one whole reply off the buffer, if it holds one.
+/// Decodes and removes one complete reply, if the buffer holds one.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Reply>, Garbage> {
     let plausible = |head: &[u8]| match head {
         [] => true,
         [b'-', why @ ..] => {
-            let known = |word: &[u8]| why.iter().zip(word).all(|(a, b)| a == b);
-            (known(b"BUSY") || known(b"ERR")) && why.len() < LINE_MOST
+            let known = |prefix: &[u8]| why.iter().zip(prefix).all(|(a, b)| a == b);
+            (known(b"BUSY") || known(b"ERR")) && why.len() < MAX_LINE
         }
         [b'$', length @ ..] => {
             let length = length.strip_suffix(b"\r").unwrap_or(length);
@@ -71,7 +71,8 @@
         _ => false,
     };
     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
-        // Danger: noise need not hold a line end to be noticed at once.
+        // Danger: invalid input may never contain a line end, so it is rejected as soon as it can't start a
+        // reply.
         return if plausible(buffer) { Ok(None) } else { Err(Garbage) };
     };
     if !plausible(&buffer[..end]) {
@@ -84,7 +85,7 @@
             Ok(Some(Reply::Busy))
         }
         Some(("$", length)) => {
-            let length = length.parse::<usize>().ok().filter(|&n| n <= TOTAL_MOST).ok_or(Garbage)?;
+            let length = length.parse::<usize>().ok().filter(|&n| n <= MAX_TOTAL_LENGTH).ok_or(Garbage)?;
             let all = end + 2 + length + 2;
             if buffer.len() < all {
                 return Ok(None);
@@ -106,19 +107,19 @@
     use super::*;
 
     #[test]
-    fn a_call_is_a_whole_array_and_no_number_is_no_call() {
+    fn a_call_is_one_array_and_a_nan_amount_is_refused() {
         let mut out = BytesMut::new();
         encode(&mut out, &Add::new(CountName(0x2a), -2.5, 4_000_000).expect("a call"));
         let text = b"*4\r\n$7\r\nINCRTTL\r\n$16\r\n000000000000002a\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n";
         assert_eq!(&out[..], &text[..]);
         assert_eq!(Add::new(CountName(1), f64::NAN, 1), None);
         let most = Add::new(CountName(1), 1e300, u64::MAX).expect("a call");
-        assert_eq!((most.amount, most.keep_ms), (AMOUNT_MOST, KEEP_MOST_MS));
+        assert_eq!((most.amount, most.keep_ms), (MAX_AMOUNT, MAX_KEEP_MS));
         assert_eq!(Add::new(CountName(1), 1.0, 0).expect("a call").keep_ms, 1);
     }
 
     #[test]
-    fn replies_are_taken_whole() {
+    fn only_complete_replies_are_decoded() {
         let mut buffer = BytesMut::from(&b"$3\r\n2.5\r\n-BUSY later\r\n$1\r\n7"[..]);
         assert_eq!(decode(&mut buffer), Ok(Some(Reply::Total(2.5))));
         assert_eq!(decode(&mut buffer), Ok(Some(Reply::Busy)));
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! What an edge node speaks to its peers, as types and codecs without I/O: the settings, a client's request,
-//! the list of app servers, the counter's calls, and what an app server's answer means.
+//! Types and codecs, without I/O, for what an edge node exchanges with its peers: the settings, a client's
+//! request, the list of app servers, the counter's calls, and the outcome of an app server's answer.
 #![forbid(unsafe_code)]
 
 pub mod classes;
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/list.rs
@@ -1,41 +1,41 @@
-//! The list of app servers as discovery tells it, and how its entries are read.
+//! The list of app servers as discovery sends it, and the parsing of its entries.
 
 use mountbend::interface::{MemberState, ServerId};
 use serde::Deserialize;
 
-/// A list of app servers, or what has changed in it.
+/// A list of app servers, or changes to it.
 #[derive(Debug, Clone, Deserialize, Default)]
 pub struct List {
-    /// The version; an agent's own, comparable with no other agent's.
+    /// The version, which is comparable only with other versions of the same agent.
     pub index: u64,
-    /// Whether this is the whole list.
+    /// Whether this is the complete list.
     #[serde(default)]
     pub snapshot: bool,
-    /// Read one by one: one that is malformed must not hide the others.
+    /// Parsed one by one, so that a malformed entry does not invalidate the others.
     #[serde(default)]
     pub endpoints: Vec<serde_json::Value>,
 }
 
-/// One app server on the list.
+/// One app server of the list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoint {
-    /// Its name, the same at every node.
+    /// Its name, which is the same at every node.
     pub name: String,
-    /// Where it listens; may differ from one node to the next.
+    /// Its address, which may differ between nodes.
     #[serde(default)]
     pub address: String,
     /// Its zone's name.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// Its machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its cell.
+    /// The number of its cell.
     #[serde(default)]
     pub group: u32,
     /// `up`, `draining` or `removed`.
     pub status: String,
-    /// Its size beside the others', where told.
+    /// Its capacity relative to the other servers, if given.
     pub weight: Option<f64>,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
     #[serde(default)]
@@ -43,7 +43,7 @@
 }
 
 impl Endpoint {
-    /// The state, if the status is one that the protocol knows.
+    /// The state, or none for an unknown status.
     pub fn state(&self) -> Option<MemberState> {
         match self.status.as_str() {
             "up" => Some(MemberState::InService),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A server's number, from its name alone so that all nodes agree: FNV-1a.
+/// A server's number: the FNV-1a hash of its name, so that all nodes agree on it.
 pub fn number(name: &str) -> ServerId {
     let step = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
     ServerId(name.bytes().fold(0x811c_9dc5, step))
@@ -65,8 +65,8 @@
     use super::*;
 
     #[test]
-    fn a_name_gives_the_same_number_everywhere() {
-        // Published FNV-1a values: the number must not change from build to build, or nodes would differ.
+    fn a_name_has_the_same_number_at_every_node() {
+        // Published FNV-1a values: the number must not change between builds, or nodes would disagree.
         assert_eq!(number(""), ServerId(0x811c_9dc5));
         assert_eq!(number("a"), ServerId(0xe40c_292c));
         assert_eq!(number("foobar"), ServerId(0xbf9c_f968));
--- a/crates/protocol/src/outcome.rs
+++ b/crates/protocol/src/outcome.rs
@@ -1,30 +1,31 @@
-//! What an app server's answer means: PROTOCOL's table of outcomes, for answers that came whole or in part.
+//! Maps an app server's answer, complete or partial, to an outcome according to the protocol's table of
+//! outcomes.
 
 use http::{HeaderMap, StatusCode};
 use mountbend::interface::Outcome;
 
-/// `X-Not-Run: 1`: the app server says that it has not begun the request.
+/// `X-Not-Run: 1`: the app server did not execute the request.
 pub const NOT_RUN: http::HeaderName = http::HeaderName::from_static("x-not-run");
 
-/// What came of the body behind an answer's head.
+/// How the body of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// All of it came.
+    /// It was received completely.
     Whole,
-    /// The connection broke first.
+    /// The connection failed before its end.
     Broken,
-    /// It can't be read, or is longer than allowed.
+    /// It can't be decoded, or is longer than allowed.
     Spoilt,
 }
 
-/// The outcome of an attempt whose answer had this head. Danger: 503 without the word that it has not run is
-/// an error, after which what is unsafe must not be sent again.
+/// The outcome of an attempt whose answer had this head and body end. Danger: 503 without `X-Not-Run: 1` is
+/// an error, after which an unsafe request must not be sent again.
 pub fn outcome(status: StatusCode, headers: &HeaderMap, body: BodyEnd) -> Outcome {
     let not_run = headers.get(NOT_RUN).is_some_and(|v| v == "1");
-    let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    let is_unavailable = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     match body {
-        // The head alone says that it has not run, whatever became of the rest.
-        _ if turned_away && not_run => Outcome::Rejected,
+        // The head alone states that the request was not executed, whatever happened to the body.
+        _ if is_unavailable && not_run => Outcome::Rejected,
         BodyEnd::Broken => Outcome::Reset,
         BodyEnd::Spoilt => Outcome::Error,
         BodyEnd::Whole if status == StatusCode::OK => Outcome::Ok,
@@ -37,8 +38,8 @@
     use super::*;
 
     #[test]
-    fn each_row_of_the_table() {
-        let says = |status: u16, not_run: &str, body| {
+    fn every_row_of_the_outcome_table() {
+        let outcome_of = |status: u16, not_run: &str, body| {
             let mut headers = HeaderMap::new();
             if !not_run.is_empty() {
                 headers.insert(NOT_RUN, not_run.parse().expect("a value"));
@@ -46,17 +47,17 @@
             outcome(StatusCode::from_u16(status).expect("a status"), &headers, body)
         };
         use BodyEnd::*;
-        assert_eq!(says(200, "", Whole), Outcome::Ok);
-        assert_eq!(says(200, "1", Whole), Outcome::Ok);
-        assert_eq!(says(200, "", Broken), Outcome::Reset);
-        assert_eq!(says(200, "", Spoilt), Outcome::Error);
-        assert_eq!(says(500, "", Whole), Outcome::Error);
-        assert_eq!(says(500, "1", Whole), Outcome::Error);
+        assert_eq!(outcome_of(200, "", Whole), Outcome::Ok);
+        assert_eq!(outcome_of(200, "1", Whole), Outcome::Ok);
+        assert_eq!(outcome_of(200, "", Broken), Outcome::Reset);
+        assert_eq!(outcome_of(200, "", Spoilt), Outcome::Error);
+        assert_eq!(outcome_of(500, "", Whole), Outcome::Error);
+        assert_eq!(outcome_of(500, "1", Whole), Outcome::Error);
         for status in [503, 504] {
-            assert_eq!(says(status, "", Whole), Outcome::Error);
-            assert_eq!(says(status, "0", Whole), Outcome::Error);
+            assert_eq!(outcome_of(status, "", Whole), Outcome::Error);
+            assert_eq!(outcome_of(status, "0", Whole), Outcome::Error);
             for body in [Whole, Broken, Spoilt] {
-                assert_eq!(says(status, "1", body), Outcome::Rejected);
+                assert_eq!(outcome_of(status, "1", body), Outcome::Rejected);
             }
         }
     }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: what its head must hold, and what the decisions are told of it.
+//! Validation of a client's request, and its conversion for the decisions.
 
 use std::str::FromStr;
 
@@ -7,34 +7,35 @@
 
 use crate::settings::{Env, WireEffect};
 
-/// The request's id.
+/// Header with the request's id.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// The key that lets app servers drop repeats.
+/// Header with the key by which app servers recognize repeats.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// How long the sender will wait, in milliseconds.
+/// Header with the time for which the client waits, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The class, by name.
+/// Header with the name of the class.
 pub const CLASS: HeaderName = HeaderName::from_static("x-class");
-/// The plan, by name.
+/// Header with the name of the plan.
 pub const PLAN: HeaderName = HeaderName::from_static("x-tariff");
-/// Units and the customer's set of nodes.
+/// Header with the units and the customer's set of nodes.
 pub const WEIGHT: HeaderName = HeaderName::from_static("x-weight");
-/// `1` marks a client's repeat.
+/// Header that marks a client's retry with `1`.
 pub const RETRY: HeaderName = HeaderName::from_static("x-retry");
-/// Bodies hold at most this much.
+/// Maximum length of a body, in bytes.
 pub const BODY_MOST: usize = 64 * 1024;
-/// Ids longer than this, waits and sizes past these, and customers from here on are absurd.
-const ID_MOST: usize = 128;
-const DEADLINE_MOST_MS: u64 = 3_600_000;
+/// Limits beyond which a value is malformed: id length in bytes, deadline in milliseconds, number of
+/// customers.
+const MAX_ID_LENGTH: usize = 128;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 const CUSTOMERS: u64 = 1 << 33;
 
-/// What is wrong with a request, in a line for its client.
+/// A malformed request, with a line that explains the error to its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// What the settings say of requests.
+/// The rules for requests that the settings define.
 pub struct Rules {
-    /// Name, effect, and number in the decisions' table.
+    /// Name, effect, and number in the decisions' class table.
     classes: Vec<(String, WireEffect, usize)>,
     plans: Vec<String>,
     nodes: u32,
@@ -42,7 +43,7 @@
 }
 
 impl Rules {
-    /// Reads them off the settings, whose classes have these numbers in the decisions' table.
+    /// The rules of these settings; `numbers` are their classes' numbers in the decisions' table.
     pub fn new(env: &Env, numbers: &[usize]) -> Self {
         let classes = env.classes.iter().zip(numbers);
         Rules {
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Reads what the decisions have to know. Danger: what is malformed never reaches them.
+    /// Validates a request and converts it for the decisions. Danger: a malformed request must never reach
+    /// them.
     pub fn read(
         &self,
         method: &Method,
@@ -68,7 +70,7 @@
         }
         let text = |name: &HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
         let id = text(&REQUEST_ID)
-            .filter(|id| !id.is_empty() && id.len() <= ID_MOST)
+            .filter(|id| !id.is_empty() && id.len() <= MAX_ID_LENGTH)
             .ok_or(Malformed("no id\n"))?;
         let name = text(&CLASS).ok_or(Malformed("no class\n"))?;
         let class = self.classes.iter().find(|(n, ..)| n == name);
@@ -94,7 +96,7 @@
             .and_then(|k| u64::from_str_radix(k, 16).ok())
             .filter(|&k| k < CUSTOMERS)
             .ok_or(Malformed("no key of 16 hex digits\n"))?;
-        let wait = text(&DEADLINE).and_then(whole_number::<u64>).filter(|&ms| ms <= DEADLINE_MOST_MS);
+        let wait = text(&DEADLINE).and_then(whole_number::<u64>).filter(|&ms| ms <= MAX_DEADLINE_MS);
         let wait = wait.ok_or(Malformed("no deadline in milliseconds\n"))?;
         let (units, spread, first_node) =
             text(&WEIGHT).and_then(|v| self.weight(v)).ok_or(Malformed("no weight\n"))?;
@@ -114,14 +116,14 @@
     fn weight(&self, text: &str) -> Option<(f64, u32, u32)> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for pair in text.split(',') {
-            // A part that comes twice says nothing.
-            let again = match pair.trim().split_once('=')? {
+            // A part that occurs twice is ambiguous.
+            let is_repeated = match pair.trim().split_once('=')? {
                 ("units", v) => units.replace(number(v)?).is_some(),
                 ("spread", v) => spread.replace(whole_number(v)?).is_some(),
                 ("first", v) => first.replace(whole_number(v)?).is_some(),
                 _ => false,
             };
-            if again {
+            if is_repeated {
                 return None;
             }
         }
@@ -131,12 +133,12 @@
     }
 }
 
-/// A whole number in digits alone.
+/// An unsigned integer of digits only.
 fn whole_number<T: FromStr>(text: &str) -> Option<T> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// A number in decimal notation, with no sign or exponent.
+/// A decimal number without sign or exponent.
 fn number(text: &str) -> Option<f64> {
     text.bytes().all(|b| b.is_ascii_digit() || b == b'.').then(|| text.parse().ok()).flatten()
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,14 +1,14 @@
-//! The settings of one node, as its configuration and the simulator's first message hold them.
+//! The settings of one node, as its configuration and the simulator's first message contain them.
 
 use mountbend::interface::{
     Class, ColdStart, CounterSettings, Effect, Group, Limits, Micros, Plan, Settings,
 };
 use serde::Deserialize;
 
-/// The settings of one node, as the simulator's first message and a real node's configuration hold them.
+/// The settings of one node, as the simulator's first message and a real node's configuration contain them.
 #[derive(Deserialize)]
 pub struct Env {
-    /// How many nodes there are.
+    /// Number of nodes.
     pub n_instances: u32,
     me: u32,
     #[serde(default)]
@@ -17,15 +17,15 @@
     quantum: Micros,
     #[serde(default)]
     registry_mode: String,
-    /// The classes of request, in the order of their numbers.
+    /// The request classes in the order of their numbers.
     pub classes: Vec<EnvClass>,
-    /// The plans, in the order of their numbers.
+    /// The plans in the order of their numbers.
     #[serde(default)]
     pub tariffs: Vec<EnvPlan>,
-    /// The zones' names, in the order of their numbers.
+    /// The names of the zones in the order of their numbers.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The names of the kinds of machine, in the order of their numbers.
+    /// The names of the machine types in the order of their numbers.
     #[serde(default)]
     pub kinds: Vec<String>,
     /// What the site permits.
@@ -41,7 +41,7 @@
 }
 
 impl Env {
-    /// The most units that a request counts; 0 where that is not told.
+    /// The maximum number of units of one request; 0 if not given.
     pub fn largest_units(&self) -> f64 {
         self.domain.largest
     }
@@ -71,10 +71,10 @@
 /// What the site permits.
 #[derive(Deserialize)]
 pub struct EnvBounds {
-    /// An app server closes a connection that has stood idle for this long.
+    /// An app server closes a connection that has been idle for this long.
     #[serde(default)]
     pub conn_idle: Micros,
-    /// A connection not made within this has failed.
+    /// Connecting fails after this time.
     #[serde(default)]
     pub connect_timeout: Micros,
     #[serde(default)]
@@ -85,7 +85,7 @@
     retry_after: bool,
     #[serde(default)]
     max_retry_after: Micros,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     #[serde(default)]
     pub try_limit: u32,
 }
@@ -99,17 +99,17 @@
     tip_after: Micros,
 }
 
-/// A class of request.
+/// A request class.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EnvClass {
     /// Its name.
     #[serde(default)]
     pub name: String,
-    /// An answer within this earns full worth.
+    /// An answer within this time has its full value.
     pub on_time: Micros,
-    /// The client's longest wait over all its tries.
+    /// How long the client waits at most, over all its tries.
     pub deadline: Micros,
-    /// Whether it may run again.
+    /// Whether its requests may be executed more than once.
     pub effect: WireEffect,
     #[serde(default)]
     group: WireGroup,
@@ -123,15 +123,15 @@
     stream: bool,
 }
 
-/// Whether a class may run again.
+/// Whether requests of a class may be executed more than once.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum WireEffect {
-    /// Repeats are harmless.
+    /// Repeated execution is harmless.
     Safe,
-    /// App servers of one group drop a repeat.
+    /// App servers of one group ignore a repeat.
     Keyed,
-    /// Must never run twice.
+    /// Must never be executed twice.
     Unsafe,
 }
 
