--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -13,17 +13,17 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use mountbend::interface::{Micros, NewRequest, Reason};
 use pinerelay_protocol::request::{Malformed, Rules, BODY_MOST, CLASS, IDEMPOTENCY_KEY, REQUEST_ID};
-use pinerelay_traffic::front::{last, Handler};
-use pinerelay_traffic::wire::Wire;
+use pinerelay_traffic::acceptor::{last, Handler};
+use pinerelay_traffic::raw_head::Wire;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 use crate::net::body::BadBody;
-use crate::net::long::{take, Download, End, Outgoing, Taken, Upload};
+use crate::net::body_memory::Room;
 use crate::net::node::{Node, FAIL_BEFORE};
 use crate::net::operators::figures::{self, Figures};
 use crate::net::ports::{Answer, Forward, Payload};
-use crate::net::room::Room;
 use crate::net::servers::Servers;
+use crate::net::streamed_body::{take, Download, End, Outgoing, Taken, Upload};
 use crate::net::Common;
 use crate::operator::Front;
 
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -7,7 +7,7 @@
 pub mod servers;
 pub mod succession;
 
-pub use pinerelay_traffic::{body, budget, clock, long, room, vigil, Common};
+pub use pinerelay_traffic::{body, body_memory, budget, clock, streamed_body, watchdog, Common};
 
 /// The node, for this kind of traffic.
 pub mod node {
--- a/crates/node/src/net/ports.rs
+++ b/crates/node/src/net/ports.rs
@@ -6,8 +6,8 @@
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use mountbend::interface::{Micros, ServerId};
-use pinerelay_traffic::long::Download;
 use pinerelay_traffic::ports;
+use pinerelay_traffic::streamed_body::Download;
 
 pub use pinerelay_traffic::ports::{Core, Ends, MemberSource, Payload, QuotaStore, Traffic, Upstream};
 
--- a/crates/node/src/net/servers.rs
+++ b/crates/node/src/net/servers.rs
@@ -19,13 +19,13 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::net::body::BadBody;
+use crate::net::body_memory::Room;
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
-use crate::net::long::{take, Download, End, Taken};
 use crate::net::node::STOP_BEFORE;
 use crate::net::ports::{Boxes, Ends, Forward, Register, Upstream};
-use crate::net::room::Room;
-use crate::net::vigil::Vigil;
+use crate::net::streamed_body::{take, Download, End, Taken};
+use crate::net::watchdog::Vigil;
 use crate::net::Common;
 use pinerelay_traffic::http::{framed, Broken, Connection, OnWritten, Sent};
 use pinerelay_traffic::pool::Pool;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -20,6 +20,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 
 use crate::config::{Checked, Config, Running, StartError};
+use crate::net::body_memory::Room;
 use crate::net::budget::Budget;
 use crate::net::clients::listen::{inherited, listen, Gate};
 use crate::net::clients::Clients;
@@ -29,7 +30,6 @@
 use crate::net::node::{Node, Peers};
 use crate::net::operators::figures::Figures;
 use crate::net::operators::{Ops, CALLERS};
-use crate::net::room::Room;
 use crate::net::servers::backoff::Backoff;
 use crate::net::servers::discovery::Discovery;
 use crate::net::servers::members::Members;
@@ -37,10 +37,10 @@
 use crate::net::succession::learned;
 use crate::net::succession::records::Looked;
 use crate::net::succession::shared::Shared;
-use crate::net::vigil::Vigil;
+use crate::net::watchdog::Vigil;
 use crate::net::Common;
 use crate::operator::Operator;
-use pinerelay_traffic::front::Front;
+use pinerelay_traffic::acceptor::Front;
 use pinerelay_traffic::http::OnWritten;
 
 use life::{live, Parts, Times};
--- a/crates/node/src/run/life.rs
+++ b/crates/node/src/run/life.rs
@@ -9,7 +9,7 @@
 use pinerelay_succession::places::{gives_back, Side};
 use pinerelay_succession::process::{Action, Event, Others, Phase, Process, Timer};
 use pinerelay_succession::record::Standing;
-use pinerelay_traffic::front::Front;
+use pinerelay_traffic::acceptor::Front;
 use tokio::signal::unix::Signal;
 use tokio::time::{sleep_until, Instant};
 
@@ -25,7 +25,7 @@
 use crate::net::succession::learned;
 use crate::net::succession::records::{Looked, Mine, LOOKS};
 use crate::net::succession::shared::Shared;
-use crate::net::vigil::Vigil;
+use crate::net::watchdog::Vigil;
 use crate::operator::Stop;
 
 /// How long a node waits for its first list before it says that it is ready. It is due within 6 s.
--- a/crates/proxy/src/proxied_request.rs
+++ b/crates/proxy/src/proxied_request.rs
@@ -8,8 +8,8 @@
 use hyper::Response;
 use mountbend::interface::Micros;
 use pinerelay_config_state::execution::ExecutionStatus;
-use pinerelay_traffic::long::Download;
 use pinerelay_traffic::ports::{Payload, Traffic};
+use pinerelay_traffic::streamed_body::Download;
 
 use crate::forwarded_request::{ForwardedRequest, ForwardingViolation};
 use crate::versions::ObservedRoute;
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -25,14 +25,14 @@
 use pinerelay_config_state::execution::ExecutionStatus;
 use pinerelay_config_state::resources::{Limits, Route, RouteType, Tenant};
 use pinerelay_config_state::routing_table::RoutingTable;
+use pinerelay_traffic::acceptor::{last, Handler};
 use pinerelay_traffic::body::BadBody;
+use pinerelay_traffic::body_memory::Room;
 use pinerelay_traffic::clock::Clock;
-use pinerelay_traffic::front::{last, Handler};
-use pinerelay_traffic::long::{discard, take, Download, Outgoing, Taken, Upload};
 use pinerelay_traffic::node::FAIL_BEFORE;
 use pinerelay_traffic::ports::{Answer, Payload};
-use pinerelay_traffic::room::Room;
-use pinerelay_traffic::wire::Wire;
+use pinerelay_traffic::raw_head::Wire;
+use pinerelay_traffic::streamed_body::{discard, take, Download, Outgoing, Taken, Upload};
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
--- a/crates/proxy/src/request_handler/framing.rs
+++ b/crates/proxy/src/request_handler/framing.rs
@@ -3,7 +3,7 @@
 use hyper::header::TRANSFER_ENCODING;
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
-use pinerelay_traffic::wire::Wire;
+use pinerelay_traffic::raw_head::Wire;
 
 use super::rejection::Rejection;
 
--- a/crates/proxy/src/request_handler/guards.rs
+++ b/crates/proxy/src/request_handler/guards.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use pinerelay_admission::lease_cache::RequestId;
-use pinerelay_traffic::long::Upload;
+use pinerelay_traffic::streamed_body::Upload;
 
 use super::RequestHandler;
 use crate::proxied_request::RequestState;
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -19,9 +19,9 @@
 use pinerelay_traffic::body::BadBody;
 use pinerelay_traffic::clock::Clock;
 use pinerelay_traffic::http::{framed, Broken, Connection, Sent};
-use pinerelay_traffic::long::{take, Download, End, Taken, Upload};
 use pinerelay_traffic::node::STOP_BEFORE;
 use pinerelay_traffic::ports::{Ends, Upstream};
+use pinerelay_traffic::streamed_body::{take, Download, End, Taken, Upload};
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/acceptor.rs
@@ -23,8 +23,8 @@
 use crate::budget::{Budget, Slot};
 use crate::connection::{ClientState, ClientStream};
 use crate::listen::Gate;
-use crate::vigil::TICK;
-use crate::wire::Wire;
+use crate::raw_head::Wire;
+use crate::watchdog::TICK;
 use crate::Common;
 
 /// Maximum length of a request head. It also bounds what a connection may buffer.
--- a/crates/traffic/src/room.rs
+++ b/crates/traffic/src/body_memory.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 
-use crate::long::DEFAULT_MAX_BODY_BYTES;
+use crate::streamed_body::DEFAULT_MAX_BODY_BYTES;
 
 /// A body may buffer at most the free memory divided by this.
 const FREE_DIVISOR: usize = 8;
--- a/crates/traffic/src/connection.rs
+++ b/crates/traffic/src/connection.rs
@@ -19,8 +19,8 @@
 use tokio::time::Instant;
 
 use crate::budget::{Budget, Ticket};
-use crate::long::STALL_TIMEOUT;
-use crate::wire::Wire;
+use crate::raw_head::Wire;
+use crate::streamed_body::STALL_TIMEOUT;
 
 /// State of one client connection.
 pub(crate) struct ClientState {
--- a/crates/traffic/src/http.rs
+++ b/crates/traffic/src/http.rs
@@ -21,8 +21,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep_until, Instant};
 
-use crate::long::{Outgoing, UploadBody};
-use crate::passage::Passage;
+use crate::request_timing::Passage;
+use crate::streamed_body::{Outgoing, UploadBody};
 
 /// Maximum read-ahead of a connection, and so the maximum length of an answer's head.
 const MAX_READ_AHEAD: usize = 16 * 1024;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,22 +1,22 @@
 //! The data plane shared by the gateway's processes: client and upstream connections, bodies, resource
 //! budgets, and the node that executes the decisions' actions.
 
+pub mod acceptor;
 pub mod body;
+pub mod body_memory;
 pub mod budget;
 pub mod clock;
 mod connection;
-pub mod front;
 pub mod http;
 pub mod listen;
-pub mod long;
 pub mod node;
-pub mod passage;
 pub mod pool;
 pub mod ports;
+pub mod raw_head;
+pub mod request_timing;
 pub mod reuse;
-pub mod room;
-pub mod vigil;
-pub mod wire;
+pub mod streamed_body;
+pub mod watchdog;
 
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
     /// File descriptor budget.
     pub budget: Rc<budget::Budget>,
     /// Memory for body buffers.
-    pub room: room::Room,
+    pub room: body_memory::Room,
     /// Detects that the process was not scheduled for a while.
-    pub vigil: Rc<vigil::Vigil>,
+    pub vigil: Rc<watchdog::Vigil>,
 }
--- a/crates/traffic/src/ports.rs
+++ b/crates/traffic/src/ports.rs
@@ -11,8 +11,8 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::http::Sent;
-use crate::long::Upload;
 use crate::node::STOP_BEFORE;
+use crate::streamed_body::Upload;
 
 /// Events that peers report to the node. It handles each before the call returns, and may call the peer again
 /// meanwhile, so the caller must not hold a `RefCell` borrow across the call.
--- a/crates/traffic/src/wire.rs
+++ b/crates/traffic/src/raw_head.rs
@@ -6,7 +6,7 @@
 use hyper::header::TRANSFER_ENCODING;
 use hyper::{Request, Uri};
 
-use crate::front::MAX_HEAD_BYTES;
+use crate::acceptor::MAX_HEAD_BYTES;
 
 /// The raw request heads of a connection. The parser drops a Content-Length next to chunked coding, so only
 /// the raw bytes show whether there was one.
--- a/crates/traffic/src/long.rs
+++ b/crates/traffic/src/streamed_body.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 use crate::body::{bad_body, BadBody};
-use crate::room::{Hold, Room};
+use crate::body_memory::{Hold, Room};
 
 /// Default maximum length of a body: 32 MB plus a margin for senders that count it loosely.
 pub const DEFAULT_MAX_BODY_BYTES: u64 = 34_000_000;
--- a/crates/traffic/tests/passage.rs
+++ b/crates/traffic/tests/passage.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use pinerelay_traffic::passage::{Passage, ONE_SEGMENT};
+use pinerelay_traffic::request_timing::{Passage, ONE_SEGMENT};
 use tokio::time::Instant;
 
 /// A request of `bytes` bytes, flushed and answered that many milliseconds after its first byte was written.
