--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -13,17 +13,17 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use mountbend::interface::{Micros, NewRequest, Reason};
 use pinerelay_protocol::request::{Malformed, Rules, BODY_MOST, CLASS, IDEMPOTENCY_KEY, REQUEST_ID};
-use pinerelay_traffic::acceptor::{last, Handler};
-use pinerelay_traffic::raw_head::Wire;
+use pinerelay_traffic::acceptor::{mark_last_answer, Handler};
+use pinerelay_traffic::raw_head::RawHead;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 use crate::net::body::BadBody;
-use crate::net::body_memory::Room;
+use crate::net::body_memory::BodyMemoryPool;
 use crate::net::node::{Node, FAIL_BEFORE};
 use crate::net::operators::figures::{self, Figures};
 use crate::net::ports::{Answer, Forward, Payload};
 use crate::net::servers::Servers;
-use crate::net::streamed_body::{take, Download, End, Outgoing, Taken, Upload};
+use crate::net::streamed_body::{buffer_body, Buffered, Download, End, Outgoing, Upload};
 use crate::net::Common;
 use crate::operator::Front;
 
@@ -46,7 +46,7 @@
     /// The rules before the last retuning, and until when they are still heeded.
     former: RefCell<Option<(Rc<Rules>, Instant)>>,
     figures: Rc<Figures>,
-    room: Room,
+    room: BodyMemoryPool,
     /// How long a head may take, from connecting or from its first byte, and then a body.
     head_wait: Duration,
     body_wait: Duration,
@@ -68,7 +68,7 @@
             rules: RefCell::new(Rc::new(rules)),
             former: RefCell::default(),
             figures,
-            room: common.room,
+            room: common.body_memory,
             head_wait: front.head_wait.0,
             body_wait: front.body_wait.0,
         })
@@ -95,7 +95,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet: docs/ROADMAP.md, Gateway 13")]
-    async fn serve(&self, request: Request<Incoming>, wire: &Wire) -> Result<Answer, Rejected> {
+    async fn serve(&self, request: Request<Incoming>, wire: &RawHead) -> Result<Answer, Rejected> {
         let now = self.node.clock.now();
         let (head, body) = request.into_parts();
         if head.uri.path() == "/up" {
@@ -111,7 +111,7 @@
             }
             // Danger: one body with two lengths may hide another request (RFC 9112, 6.1 and 6.3), and of the two
             // headers only this one is left by now.
-            if wire.names_length() {
+            if wire.has_content_length() {
                 return Err(bad("a body comes in chunks or with a length, not with both\n"));
             }
         }
@@ -121,11 +121,11 @@
         let wait = new.due - now;
         // As much as is taken in ahead may come at the least pace that a client is held to.
         let body_by = begun + self.body_wait + AHEAD;
-        let payload = match timeout_at(body_by, take(body, BODY_MOST, None, &self.room)).await {
-            Ok(Ok(Taken::Whole(body))) => Payload::Whole(body),
-            Ok(Ok(Taken::Part(first, rest))) => {
+        let payload = match timeout_at(body_by, buffer_body(body, BODY_MOST, None, &self.room)).await {
+            Ok(Ok(Buffered::Complete(body))) => Payload::Buffered(body),
+            Ok(Ok(Buffered::Partial(first, rest))) => {
                 let wait = Duration::from_micros(wait);
-                let pipe = self.room.pipe();
+                let pipe = self.room.try_reserve_stream();
                 let full = pipe.is_none();
                 let upload = Upload::new(first, rest, pipe, wait, begun, self.body_wait);
                 if full && head.method != Method::GET {
@@ -137,7 +137,7 @@
                         "no room for one long body more\n",
                     ));
                 }
-                Payload::Long(upload)
+                Payload::Streamed(upload)
             }
             Ok(Err(BadBody::TooLong)) => {
                 return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MB\n"));
@@ -146,16 +146,16 @@
             Err(_) => return Err(Rejected(StatusCode::REQUEST_TIMEOUT, "the body came too late\n")),
         };
         let upload = match &payload {
-            Payload::Whole(body) if head.method == Method::GET && !body.is_empty() => {
+            Payload::Buffered(body) if head.method == Method::GET && !body.is_empty() => {
                 return Err(bad("a GET has no body\n"));
             }
-            Payload::Whole(_) => None,
-            Payload::Long(_) if head.method == Method::GET => return Err(bad("a GET has no body\n")),
-            Payload::Long(upload) => Some(upload.clone()),
+            Payload::Buffered(_) => None,
+            Payload::Streamed(_) if head.method == Method::GET => return Err(bad("a GET has no body\n")),
+            Payload::Streamed(upload) => Some(upload.clone()),
         };
         // A request's time counts from its last byte.
         new.due = self.node.clock.now() + wait;
-        let last_call = self.node.last_call(new.due);
+        let last_call = self.node.answer_deadline(new.due);
         let mut headers = head.headers;
         // A request in absolute form goes on in origin form.
         let uri = match head.uri.scheme() {
@@ -174,7 +174,7 @@
         let answer =
             self.node.take(new, forward).map_err(|_| Rejected(StatusCode::CONFLICT, "id in use\n"))?;
         // When the client goes away, this future is dropped with its connection.
-        let _waited = self.node.waited(id);
+        let _waited = self.node.waiting_client(id);
         let overdue = async {
             match &upload {
                 None => sleep_until(last_call).await,
@@ -189,17 +189,17 @@
         };
         upload.iter().for_each(|upload| upload.drain());
         let class = class_of(&class);
-        if let Ok(Answer::Long(body)) = answer {
+        if let Ok(Answer::Streamed(body)) = answer {
             let (figures, class) = (self.figures.clone(), String::from(class));
-            return Ok(Answer::Long(body.counted(move |end| {
+            return Ok(Answer::Streamed(body.counted(move |end| {
                 let _pending = pending;
                 let result =
-                    if end == End::Whole { figures::Result::Completed } else { figures::Result::Failed };
+                    if end == End::Complete { figures::Result::Completed } else { figures::Result::Failed };
                 figures.ended(&class, result);
             })));
         }
         let (result, why) = match &answer {
-            Ok(Answer::Served(_) | Answer::Long(_)) => (figures::Result::Completed, None),
+            Ok(Answer::Served(_) | Answer::Streamed(_)) => (figures::Result::Completed, None),
             Ok(Answer::Refused(_, why)) => (figures::Result::Rejected, Some(*why)),
             Ok(Answer::Failed(why)) => (figures::Result::Failed, Some(*why)),
             Err(_) => (figures::Result::Failed, Some(Reason::TimedOut)),
@@ -213,13 +213,13 @@
 impl Handler for Clients {
     type Reply = Reply;
 
-    async fn answer(&self, request: Request<Incoming>, wire: &Wire) -> Response<Reply> {
+    async fn answer(&self, request: Request<Incoming>, wire: &RawHead) -> Response<Reply> {
         // Danger: where a body in chunks ends, the next request may have been read along with it. Its head is not
         // looked at for what this one's was.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
         let (mut response, end) = match self.serve(request, wire).await {
             Ok(Answer::Served(body)) => (Response::new(body.into()), false),
-            Ok(Answer::Long(body)) => (Response::new(Reply::Long(body)), false),
+            Ok(Answer::Streamed(body)) => (Response::new(Reply::Streamed(body)), false),
             Ok(Answer::Refused(wait, _)) => (refused(wait), false),
             Ok(Answer::Failed(_)) => (plain(StatusCode::BAD_GATEWAY, ""), false),
             Err(Rejected(status, why)) => {
@@ -232,7 +232,7 @@
         };
         // Danger: behind a request that can't be trusted may lie another that its sender hid there.
         if end || chunked || self.node.stopping() {
-            last(&mut response);
+            mark_last_answer(&mut response);
         }
         response
     }
--- a/crates/node/src/net/operators.rs
+++ b/crates/node/src/net/operators.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::net::body::{whole, BadBody};
+use crate::net::body::{read_body, BadBody};
 use crate::net::clients::listen::listen;
 use crate::net::operators::figures::Figures;
 use crate::net::servers::members::Members;
@@ -138,7 +138,7 @@
         }
         let unreadable =
             |_| (StatusCode::BAD_REQUEST, "the body is to hold an app server's id\n".to_string());
-        let body = whole(body, BODY_MOST).await.map_err(unreadable)?;
+        let body = read_body(body, BODY_MOST).await.map_err(unreadable)?;
         let name = std::str::from_utf8(&body).map_err(|_| unreadable(BadBody::Malformed))?.trim();
         if !self.members.known(name) && !self.shared.holds(name) {
             return Err((StatusCode::NOT_FOUND, format!("no app server {name:?} is known here\n")));
--- a/crates/node/src/net/ports.rs
+++ b/crates/node/src/net/ports.rs
@@ -9,21 +9,23 @@
 use pinerelay_traffic::ports;
 use pinerelay_traffic::streamed_body::Download;
 
-pub use pinerelay_traffic::ports::{Core, Ends, MemberSource, Payload, QuotaStore, Traffic, Upstream};
+pub use pinerelay_traffic::ports::{
+    AttemptEvents, Core, MemberSource, Payload, QuotaStore, Traffic, Upstream,
+};
 
 /// The requests of plans' customers to app servers.
 pub struct Boxes;
 
 impl Traffic for Boxes {
     type Forward = Forward;
-    type Whole = Bytes;
-    type Long = Download;
+    type Buffered = Bytes;
+    type Streamed = Download;
 
     fn stop(forward: &Forward, due: Micros) -> Micros {
         forward.body.stop(due)
     }
 
-    fn tries(_: &Forward) -> Option<usize> {
+    fn attempt_limit(_: &Forward) -> Option<usize> {
         None
     }
 }
--- a/crates/node/src/net/servers.rs
+++ b/crates/node/src/net/servers.rs
@@ -19,15 +19,15 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::net::body::BadBody;
-use crate::net::body_memory::Room;
+use crate::net::body_memory::BodyMemoryPool;
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::node::STOP_BEFORE;
-use crate::net::ports::{Boxes, Ends, Forward, Register, Upstream};
-use crate::net::streamed_body::{take, Download, End, Taken};
-use crate::net::watchdog::Vigil;
+use crate::net::ports::{AttemptEvents, Boxes, Forward, Register, Upstream};
+use crate::net::streamed_body::{buffer_body, Buffered, Download, End};
+use crate::net::watchdog::Watchdog;
 use crate::net::Common;
-use pinerelay_traffic::http::{framed, Broken, Connection, OnWritten, Sent};
+use pinerelay_traffic::http::{framed, Connection, OnWritten, SendError, Sent};
 use pinerelay_traffic::pool::Pool;
 
 /// How long an answer that has begun may stand still. Danger: one that says it is longer than it is never ends. It does
@@ -58,9 +58,9 @@
     keep: Duration,
     on_written: OnWritten,
     clock: Rc<Clock>,
-    core: Weak<dyn Ends<Boxes>>,
-    room: Room,
-    vigil: Rc<Vigil>,
+    core: Weak<dyn AttemptEvents<Boxes>>,
+    room: BodyMemoryPool,
+    watchdog: Rc<Watchdog>,
     me: Weak<Servers>,
 }
 
@@ -91,12 +91,12 @@
     /// No app servers yet. Idle connections are dropped at half the time after which the peer may do so: a
     /// request that crosses the peer's close could not be told from one that ran.
     pub fn new(
-        Common { budget, room, vigil }: Common,
+        Common { budget, body_memory: room, watchdog }: Common,
         connect_timeout: Micros,
         conn_idle: Micros,
         on_written: OnWritten,
         clock: Rc<Clock>,
-        core: Weak<dyn Ends<Boxes>>,
+        core: Weak<dyn AttemptEvents<Boxes>>,
     ) -> Rc<Self> {
         let or = |value: Micros, default| if value > 0 { value } else { default };
         let pool = Pool::new(budget.clone());
@@ -109,7 +109,7 @@
             clock,
             core,
             room,
-            vigil,
+            watchdog,
             me: me.clone(),
         })
     }
@@ -133,7 +133,7 @@
         forward: &Forward,
         stop: Micros,
     ) -> (Outcome, Option<Bytes>) {
-        let upload = forward.body.long();
+        let upload = forward.body.streamed();
         let until = forward.body.connect_by(self.clock.instant(stop));
         let mut fresh_only = false;
         let mut request = None;
@@ -144,10 +144,10 @@
                 Err(_) | Ok(Err(NoLine::Failed)) => return (Outcome::ConnectFailed, None),
                 Ok(Err(NoLine::Shed)) => return (Outcome::NotSent, None),
             };
-            if self.vigil.behind() {
+            if self.watchdog.behind() {
                 // Danger: what forbids this app server may lie unread.
-                self.vigil.caught_up().await;
-                if !self.pool.stands(server, line.generation) {
+                self.watchdog.caught_up().await;
+                if !self.pool.is_current(server, line.generation) {
                     return (Outcome::ConnectFailed, None);
                 }
             }
@@ -169,36 +169,36 @@
                 }
             };
             let Line { mut connection, generation, idle } = line;
-            let heard = connection.heard();
+            let heard = connection.answer_timing();
             let answer = tokio::select! {
                 biased;
                 answer = self.exchange(&mut connection, message) => answer,
                 // Danger: whether the last byte went out is not known here, so it may have run.
-                () = forward.body.time_up(until, STOP) => return (Outcome::TimedOut, None),
-                _ = heard.stalled(STALL) => Err(Broken::Spoilt),
+                () = forward.body.wait_until_due(until, STOP) => return (Outcome::TimedOut, None),
+                _ = heard.stalled(STALL) => Err(SendError::BadAnswer),
             };
-            if upload.is_some_and(|upload| upload.broken()) {
+            if upload.is_some_and(|upload| upload.is_broken()) {
                 // The client broke it off: it has not run, and the app server has done nothing wrong.
                 return (Outcome::NotSent, None);
             }
-            if !matches!(answer, Err(Broken::Unwritten(_))) {
-                self.pool.reuse.ended(idle, matches!(answer, Err(Broken::Doubtful)) && !heard.begun());
+            if !matches!(answer, Err(SendError::NotWritten(_))) {
+                self.pool.reuse.ended(idle, matches!(answer, Err(SendError::MaybeWritten)) && !heard.begun());
             }
             match answer {
                 Ok(Exchanged::Whole(outcome, body, reusable)) => {
                     // Danger: an answer that came before the request was whole leaves the rest of it on the line.
-                    if reusable && upload.is_none_or(|upload| upload.whole()) {
+                    if reusable && upload.is_none_or(|upload| upload.is_complete()) {
                         self.pool.give_back(server, connection, generation, self.keep);
                     }
                     return (outcome, body);
                 }
                 Ok(Exchanged::Long(first, rest)) => {
-                    let (answer, ended) = Download::new(first, rest, self.room.pipe_at_once());
-                    if !self.core.upgrade().is_some_and(|core| core.answer_begins(id, number, answer)) {
+                    let (answer, ended) = Download::new(first, rest, self.room.reserve_stream());
+                    if !self.core.upgrade().is_some_and(|core| core.answer_started(id, number, answer)) {
                         return (Outcome::Cancelled, None);
                     }
                     return match ended.await {
-                        Ok(End::Whole) => {
+                        Ok(End::Complete) => {
                             self.pool.give_back(server, connection, generation, self.keep);
                             (Outcome::Ok, None)
                         }
@@ -209,24 +209,24 @@
                 }
                 // Not a byte was written to a kept connection that turned out closed: this is still the same
                 // attempt, on a new connection.
-                Err(Broken::Unwritten(message)) if idle.is_some() => {
+                Err(SendError::NotWritten(message)) if idle.is_some() => {
                     request = Some(*message);
                     fresh_only = true;
                 }
-                Err(Broken::Unwritten(message)) => {
-                    if let Sent::Long(body) = message.into_body() {
+                Err(SendError::NotWritten(message)) => {
+                    if let Sent::Streamed(body) = message.into_body() {
                         body.give_back();
                     }
                     return (Outcome::ConnectFailed, None);
                 }
                 // Its last byte has not been written.
-                Err(Broken::Doubtful) if upload.is_some_and(|upload| !upload.whole()) => {
+                Err(SendError::MaybeWritten) if upload.is_some_and(|upload| !upload.is_complete()) => {
                     return (Outcome::ConnectFailed, None);
                 }
-                Err(Broken::Doubtful) => return (Outcome::Reset, None),
+                Err(SendError::MaybeWritten) => return (Outcome::Reset, None),
                 // Danger: any app server may spoil an answer. It is alive and no worse than others, and an
                 // ejection would take it from all.
-                Err(Broken::Spoilt) => return (Outcome::Error, None),
+                Err(SendError::BadAnswer) => return (Outcome::Error, None),
             }
         }
     }
@@ -236,27 +236,27 @@
         &self,
         connection: &mut Connection,
         message: Request<Sent>,
-    ) -> Result<Exchanged, Broken> {
+    ) -> Result<Exchanged, SendError> {
         let response = connection.send(message).await?;
         if !framed(&response) {
-            return Err(Broken::Spoilt);
+            return Err(SendError::BadAnswer);
         }
         let (head, body) = response.into_parts();
         let told = body.size_hint().exact().is_some();
         let until = (!told && head.status == StatusCode::OK).then(|| Instant::now() + LENGTH_WAIT);
-        let (body, end) = match take(body, BODY_MOST, until, &self.room).await {
-            Ok(Taken::Whole(body)) => (Some(body), BodyEnd::Whole),
-            Ok(Taken::Part(first, rest)) if head.status == StatusCode::OK => {
+        let (body, end) = match buffer_body(body, BODY_MOST, until, &self.room).await {
+            Ok(Buffered::Complete(body)) => (Some(body), BodyEnd::Whole),
+            Ok(Buffered::Partial(first, rest)) if head.status == StatusCode::OK => {
                 return Ok(Exchanged::Long(first, rest));
             }
             // Of any other answer the head tells all, and the rest stays unread.
-            Ok(Taken::Part(..)) => (None, BodyEnd::Spoilt),
+            Ok(Buffered::Partial(..)) => (None, BodyEnd::Spoilt),
             Err(BadBody::Broken) => (None, BodyEnd::Broken),
             Err(_) => (None, BodyEnd::Spoilt),
         };
         let outcome = outcome(head.status, &head.headers, end);
         if outcome == Outcome::Error && end == BodyEnd::Spoilt {
-            return Err(Broken::Spoilt);
+            return Err(SendError::BadAnswer);
         }
         Ok(Exchanged::Whole(outcome, body.filter(|_| outcome == Outcome::Ok), end == BodyEnd::Whole))
     }
@@ -279,7 +279,7 @@
             Ok(Ok(connection)) => {
                 // Danger: the list may have changed while the connection came up.
                 self.pool
-                    .stands(server, generation)
+                    .is_current(server, generation)
                     .then_some(Line { connection, generation, idle: None })
                     .ok_or(NoLine::Failed)
             }
@@ -307,9 +307,9 @@
                 }
                 outcome
             }
-            Ok(Err(Broken::Unwritten(_))) => Outcome::ConnectFailed,
-            Ok(Err(Broken::Doubtful)) => Outcome::Reset,
-            Ok(Err(Broken::Spoilt)) => Outcome::Error,
+            Ok(Err(SendError::NotWritten(_))) => Outcome::ConnectFailed,
+            Ok(Err(SendError::MaybeWritten)) => Outcome::Reset,
+            Ok(Err(SendError::BadAnswer)) => Outcome::Error,
             Err(_) => Outcome::TimedOut,
         }
     }
@@ -329,14 +329,14 @@
             let Some(servers) = servers.upgrade() else { return };
             let (outcome, body) = servers.outcome_of((&id, number), server, &forward, stop).await;
             if let Some(core) = core.upgrade() {
-                core.attempt_over(&id, number, outcome, body);
+                core.attempt_ended(&id, number, outcome, body);
             }
         });
         task.abort_handle()
     }
 
     /// The decisions know of every limit here.
-    fn goes_on(&self, _: &Forward) -> bool {
+    fn would_retry(&self, _: &Forward) -> bool {
         true
     }
 
--- a/crates/node/src/net/servers/discovery.rs
+++ b/crates/node/src/net/servers/discovery.rs
@@ -14,7 +14,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-use crate::net::body::whole;
+use crate::net::body::read_body;
 use crate::net::ports::MemberSource;
 use crate::net::servers::backoff::Backoff;
 use crate::net::servers::members::Members;
@@ -176,7 +176,7 @@
         request.headers_mut().insert(HOST, host);
         let response = line.send(request).await.map_err(|_| Failure::Broken)?;
         let status = response.status();
-        let body = whole(response.into_body(), LIST_MOST).await.map_err(|_| Failure::Broken)?;
+        let body = read_body(response.into_body(), LIST_MOST).await.map_err(|_| Failure::Broken)?;
         if status != StatusCode::OK {
             return Err(Failure::Status(status));
         }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -20,7 +20,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 
 use crate::config::{Checked, Config, Running, StartError};
-use crate::net::body_memory::Room;
+use crate::net::body_memory::BodyMemoryPool;
 use crate::net::budget::Budget;
 use crate::net::clients::listen::{inherited, listen, Gate};
 use crate::net::clients::Clients;
@@ -37,10 +37,10 @@
 use crate::net::succession::learned;
 use crate::net::succession::records::Looked;
 use crate::net::succession::shared::Shared;
-use crate::net::watchdog::Vigil;
+use crate::net::watchdog::Watchdog;
 use crate::net::Common;
 use crate::operator::Operator;
-use pinerelay_traffic::acceptor::Front;
+use pinerelay_traffic::acceptor::Acceptor;
 use pinerelay_traffic::http::OnWritten;
 
 use life::{live, Parts, Times};
@@ -85,7 +85,7 @@
     // One whose socket is its own has no other beside it.
     let claimable = if handed_on { claims::shared(sockets) } else { sockets };
     let budget = Budget::new(claimable, for_ops, operator.front.client_share);
-    let room = Room::of(config.limits.memory_mb);
+    let room = BodyMemoryPool::for_process(config.limits.memory_mb);
     let mut env = config.settings;
     let (zones, kinds) = (std::mem::take(&mut env.zones), std::mem::take(&mut env.kinds));
     let (connect_timeout, conn_idle) = (env.bounds.connect_timeout, env.bounds.conn_idle);
@@ -113,7 +113,7 @@
         (Some(settings), Some(file)) => Some(redis::server(settings, file)?),
         _ => None,
     };
-    let common = Common { budget: budget.clone(), room, vigil: Vigil::new() };
+    let common = Common { budget: budget.clone(), body_memory: room, watchdog: Watchdog::new() };
     let mut joined = None;
     let node = Node::new(controller, try_limit, clock.clone(), |core| {
         let sent = figures.clone();
@@ -160,7 +160,7 @@
     };
     tokio::task::spawn_local(reload(hangup, path, file, discovery.clone(), store.clone(), retuned));
     let gate = Rc::new(Gate::default());
-    let front = Front::new(clients, common.clone());
+    let front = Acceptor::new(clients, common.clone());
     tokio::task::spawn_local(front.clone().accept(listener, gate.clone(), handed_on));
     let store = store.port();
     let parts = Parts {
@@ -175,7 +175,7 @@
         store,
         shared,
         names,
-        vigil: common.vigil,
+        watchdog: common.watchdog,
     };
     let longest = || patience.get();
     let times = Times { planned: &operator.stop, longest: &longest, limit: claimable, handed_on };
--- a/crates/node/src/run/life.rs
+++ b/crates/node/src/run/life.rs
@@ -9,7 +9,7 @@
 use pinerelay_succession::places::{gives_back, Side};
 use pinerelay_succession::process::{Action, Event, Others, Phase, Process, Timer};
 use pinerelay_succession::record::Standing;
-use pinerelay_traffic::acceptor::Front;
+use pinerelay_traffic::acceptor::Acceptor;
 use tokio::signal::unix::Signal;
 use tokio::time::{sleep_until, Instant};
 
@@ -25,7 +25,7 @@
 use crate::net::succession::learned;
 use crate::net::succession::records::{Looked, Mine, LOOKS};
 use crate::net::succession::shared::Shared;
-use crate::net::watchdog::Vigil;
+use crate::net::watchdog::Watchdog;
 use crate::operator::Stop;
 
 /// How long a node waits for its first list before it says that it is ready. It is due within 6 s.
@@ -62,7 +62,7 @@
     /// The node.
     pub node: Rc<Node>,
     /// Its clients' side.
-    pub front: Rc<Front<Clients>>,
+    pub front: Rc<Acceptor<Clients>>,
     /// Whether they are accepted.
     pub gate: Rc<Gate>,
     /// The operators' side.
@@ -80,7 +80,7 @@
     /// What the processes of this address tell each other.
     pub shared: Rc<Shared>,
     /// Who notices that it has stood still.
-    pub vigil: Rc<Vigil>,
+    pub watchdog: Rc<Watchdog>,
     /// The classes' names, for the next process.
     pub names: Rc<RefCell<Vec<String>>>,
 }
@@ -225,8 +225,8 @@
     fn open(&self) -> Event {
         let p = &self.parts;
         Event::Open {
-            waited_for: p.node.waited_for(),
-            clients: p.budget.clients() + usize::from(!p.gate.heeded()),
+            waited_for: p.node.has_waiting_clients(),
+            clients: p.budget.clients() + usize::from(!p.gate.is_acknowledged()),
             settled: p.store.settled(),
         }
     }
@@ -270,9 +270,9 @@
             self.next_look = self.changed;
         }
         let leaves = standing == Standing::Leaves;
-        p.vigil.looked(looked.others != Others::default());
+        p.watchdog.records_read(looked.others != Others::default());
         p.budget.resize(looked.claim);
-        p.front.beside(looked.others.serving > 0);
+        p.front.set_shared(looked.others.serving > 0);
         let settled = self.changed.elapsed() >= SETTLED;
         let side = Side { standing, others: looked.others, settled };
         let holds = p.budget.holds(p.servers.idle());
--- a/crates/proxy/src/forwarded_request.rs
+++ b/crates/proxy/src/forwarded_request.rs
@@ -80,7 +80,7 @@
     /// Returns the framing for a body that was received with these headers.
     pub fn of(payload: &Payload, headers: &HeaderMap) -> BodyFraming {
         match payload {
-            Payload::Whole(body) if body.is_empty() => {
+            Payload::Buffered(body) if body.is_empty() => {
                 let is_framed =
                     [CONTENT_LENGTH, TRANSFER_ENCODING].iter().any(|name| headers.contains_key(name));
                 if is_framed {
@@ -89,8 +89,8 @@
                     BodyFraming::Absent
                 }
             }
-            Payload::Whole(body) => BodyFraming::Length(body.len() as u64),
-            Payload::Long(upload) => upload.length().map_or(BodyFraming::Chunked, BodyFraming::Length),
+            Payload::Buffered(body) => BodyFraming::Length(body.len() as u64),
+            Payload::Streamed(upload) => upload.length().map_or(BodyFraming::Chunked, BodyFraming::Length),
         }
     }
 }
--- a/crates/proxy/src/proxied_request.rs
+++ b/crates/proxy/src/proxied_request.rs
@@ -54,23 +54,23 @@
 
 impl Traffic for ProxyTraffic {
     type Forward = ProxiedRequest;
-    type Whole = Response<Bytes>;
-    type Long = (Parts, Download);
+    type Buffered = Response<Bytes>;
+    type Streamed = (Parts, Download);
 
     fn stop(request: &ProxiedRequest, due: Micros) -> Micros {
         request.body.stop(due)
     }
 
-    fn tries(request: &ProxiedRequest) -> Option<usize> {
+    fn attempt_limit(request: &ProxiedRequest) -> Option<usize> {
         Some(request.max_attempts + EXTRA_ATTEMPTS)
     }
 
     /// A request that is not idempotent continues after its client has disconnected: the client may ask for its result later.
-    fn stops_when_gone(request: &ProxiedRequest) -> bool {
+    fn aborts_without_client(request: &ProxiedRequest) -> bool {
         request.is_idempotent
     }
 
-    fn outlasts_cancel(_: &ProxiedRequest) -> bool {
+    fn continues_when_cancelled(_: &ProxiedRequest) -> bool {
         true
     }
 }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -25,14 +25,14 @@
 use pinerelay_config_state::execution::ExecutionStatus;
 use pinerelay_config_state::resources::{Limits, Route, RouteType, Tenant};
 use pinerelay_config_state::routing_table::RoutingTable;
-use pinerelay_traffic::acceptor::{last, Handler};
+use pinerelay_traffic::acceptor::{mark_last_answer, Handler};
 use pinerelay_traffic::body::BadBody;
-use pinerelay_traffic::body_memory::Room;
+use pinerelay_traffic::body_memory::BodyMemoryPool;
 use pinerelay_traffic::clock::Clock;
 use pinerelay_traffic::node::FAIL_BEFORE;
 use pinerelay_traffic::ports::{Answer, Payload};
-use pinerelay_traffic::raw_head::Wire;
-use pinerelay_traffic::streamed_body::{discard, take, Download, Outgoing, Taken, Upload};
+use pinerelay_traffic::raw_head::RawHead;
+use pinerelay_traffic::streamed_body::{buffer_body, discard, Buffered, Download, Outgoing, Upload};
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
@@ -101,7 +101,7 @@
     clock: Rc<Clock>,
     services: Rc<Services>,
     servers: Rc<ServerPool>,
-    memory: Room,
+    memory: BodyMemoryPool,
     admitter: Weak<dyn Admitter>,
     /// Requests that wait for a quota unit.
     waiting: RefCell<BTreeMap<RequestId, oneshot::Sender<Admission>>>,
@@ -143,7 +143,7 @@
         clock: Rc<Clock>,
         services: Rc<Services>,
         servers: Rc<ServerPool>,
-        memory: Room,
+        memory: BodyMemoryPool,
         admitter: Weak<dyn Admitter>,
         seed: u64,
     ) -> Rc<RequestHandler> {
@@ -175,7 +175,7 @@
             table.route_count(),
             table.tenants().len()
         );
-        self.memory.lengthen(table.limits.max_body_bytes);
+        self.memory.set_max_body_bytes(table.limits.max_body_bytes);
         self.servers.set_max_connections(table.services.values());
         self.services.set_rollouts(&table.rollouts);
         self.table.store(Some(table));
@@ -222,7 +222,7 @@
     async fn handle(
         &self,
         request: Request<Incoming>,
-        wire: &Wire,
+        wire: &RawHead,
         connection: &Cell<ConnectionUse>,
     ) -> Result<Response<ResponseBody>, Rejection> {
         let received_at = Instant::now();
@@ -240,7 +240,7 @@
         let timeout = found.route.timeout;
         let time_limit = found.head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
         let payload = self.read_body(body, received_at, time_limit).await?;
-        let upload = payload.long().cloned();
+        let upload = payload.streamed().cloned();
         let drain_guard = DrainGuard(upload.clone());
         if let Some(tenant) = &found.tenant {
             self.admit(tenant).await?;
@@ -252,7 +252,7 @@
         let time_left = time_limit.saturating_sub(forwarding_since.elapsed());
         let (forwarding, answer) = self.forward(&found.route, request, payload, time_left)?;
         let withdrawal_guard = WithdrawalGuard(forwarding.state.clone());
-        let waiting_guard = forwarding.service.node.waited(forwarding.id.clone());
+        let waiting_guard = forwarding.service.node.waiting_client(forwarding.id.clone());
         let answer = self.await_answer(&forwarding, answer).await;
         drop((withdrawal_guard, waiting_guard, drain_guard));
         self.respond(answer, &forwarding.state, is_idempotent)
@@ -281,11 +281,11 @@
         received_at: Instant,
         time_limit: Duration,
     ) -> Result<Payload, Rejection> {
-        let read = take(body, BUFFERED_BODY_LENGTH, None, &self.memory);
+        let read = buffer_body(body, BUFFERED_BODY_LENGTH, None, &self.memory);
         match timeout_at(received_at + BODY_TIMEOUT, read).await {
-            Ok(Ok(Taken::Whole(body))) => Ok(Payload::Whole(body)),
-            Ok(Ok(Taken::Part(first, rest))) => {
-                let pipe = self.memory.pipe();
+            Ok(Ok(Buffered::Complete(body))) => Ok(Payload::Buffered(body)),
+            Ok(Ok(Buffered::Partial(first, rest))) => {
+                let pipe = self.memory.try_reserve_stream();
                 let has_memory = pipe.is_some();
                 let upload = Upload::new(first, rest, pipe, time_limit, received_at, BODY_TIMEOUT);
                 if !has_memory {
@@ -293,7 +293,7 @@
                     upload.drain();
                     return Err(Rejection::out_of_memory());
                 }
-                Ok(Payload::Long(upload))
+                Ok(Payload::Streamed(upload))
             }
             Ok(Err(BadBody::TooLong)) => {
                 Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"))
@@ -357,7 +357,7 @@
         let due = self.clock.now() + time_left.as_micros() as u64;
         let service_name = self.choose_service(route);
         let state = Rc::new(RequestState::default());
-        let upload = body.long().cloned();
+        let upload = body.streamed().cloned();
         let proxied = ProxiedRequest {
             request,
             body,
@@ -394,7 +394,7 @@
         let Forwarding { service, due, upload, .. } = forwarding;
         let overdue = async {
             match upload {
-                None => sleep_until(service.node.last_call(*due)).await,
+                None => sleep_until(service.node.answer_deadline(*due)).await,
                 Some(upload) => sleep_until(upload.ended().await + upload.wait - FAILURE_MARGIN).await,
             }
         };
@@ -439,11 +439,11 @@
         let bad_gateway = || Rejection::new(StatusCode::BAD_GATEWAY, "");
         let reason = match answer {
             Answer::Served(response) if !may_pass(response.status()) => return Err(bad_gateway()),
-            Answer::Long((head, _)) if !may_pass(head.status) => return Err(bad_gateway()),
+            Answer::Streamed((head, _)) if !may_pass(head.status) => return Err(bad_gateway()),
             Answer::Served(response) => return Ok(complete_response(response)),
-            Answer::Long((mut head, body)) => {
+            Answer::Streamed((mut head, body)) => {
                 remove_hop_by_hop(&mut head.headers);
-                return Ok(Response::from_parts(head, ResponseBody::Long(body)));
+                return Ok(Response::from_parts(head, ResponseBody::Streamed(body)));
             }
             Answer::Refused(_, reason) | Answer::Failed(reason) => reason,
         };
@@ -468,7 +468,7 @@
 impl Handler for RequestHandler {
     type Reply = ResponseBody;
 
-    async fn answer(&self, request: Request<Incoming>, wire: &Wire) -> Response<ResponseBody> {
+    async fn answer(&self, request: Request<Incoming>, wire: &RawHead) -> Response<ResponseBody> {
         // After a chunked body the next request may have been read with it, without the checks that this request's head passed.
         let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
         let connection = Cell::new(ConnectionUse::KeepAlive);
@@ -483,7 +483,7 @@
         // After a request with untrusted framing, the following bytes may be a smuggled request.
         let must_close = connection.get() == ConnectionUse::Close || self.is_shutting_down.get();
         if requires_close || is_chunked || must_close {
-            last(&mut response);
+            mark_last_answer(&mut response);
         }
         response
     }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -26,13 +26,13 @@
 use pinerelay_peer_link::link::{LinkEvent, LinkEvents, LinkHandle, Links};
 use pinerelay_peer_link::message::{Hello, Metric, PeerMessage, Role};
 use pinerelay_rollout::decider::REPORT_INTERVAL;
-use pinerelay_traffic::acceptor::{Front, Handler};
-use pinerelay_traffic::body_memory::Room;
+use pinerelay_traffic::acceptor::{Acceptor, Handler};
+use pinerelay_traffic::body_memory::BodyMemoryPool;
 use pinerelay_traffic::budget::Budget;
 use pinerelay_traffic::clock::Clock;
 use pinerelay_traffic::listen::{listen, Gate};
-use pinerelay_traffic::raw_head::Wire;
-use pinerelay_traffic::watchdog::Vigil;
+use pinerelay_traffic::raw_head::RawHead;
+use pinerelay_traffic::watchdog::Watchdog;
 use pinerelay_traffic::Common;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, sleep_until, Instant};
@@ -90,7 +90,7 @@
 
 /// The listener for client connections.
 struct ClientListener {
-    front: Rc<Front<RequestHandler>>,
+    front: Rc<Acceptor<RequestHandler>>,
     gate: Rc<Gate>,
 }
 
@@ -116,15 +116,15 @@
     let reserved = RESERVED_DESCRIPTORS.min(descriptors / RESERVED_DIVISOR);
     let common = Common {
         budget: Budget::new(descriptors, reserved, CLIENT_DESCRIPTORS),
-        room: Room::of(settings.limits.memory_mb),
-        vigil: Vigil::new(),
+        body_memory: BodyMemoryPool::for_process(settings.limits.memory_mb),
+        watchdog: Watchdog::new(),
     };
     let (links, events) = Links::new();
     let (proxy, handler) = RunningProxy::new(settings, links, common.clone());
     proxy.listen_for_readiness(listen(readiness.into(), READINESS_BACKLOG)?, &common);
     let own_address = proxy.settings.internal_address(proxy.settings.ip, internal_port::PROXY);
     proxy.links.listen(own_address)?;
-    let front = Front::new(handler.clone(), common);
+    let front = Acceptor::new(handler.clone(), common);
     let gate = Rc::new(Gate::default());
     tokio::task::spawn_local(front.clone().accept(listen(public.into(), BACKLOG)?, gate.clone(), false));
     gate.open();
@@ -158,7 +158,7 @@
             ratio: settings.bounds.retry_ratio,
             extra: settings.bounds.retry_extra,
         };
-        let room = common.room.clone();
+        let room = common.body_memory.clone();
         let servers = ServerPool::new(common, RetryBudget::new(bounds));
         let services = Services::new(clock.clone(), servers.clone(), &settings.zone, process_id);
         let proxy = Rc::new(RunningProxy {
@@ -182,7 +182,7 @@
     /// Starts the listener for readiness checks, with a descriptor budget of its own.
     fn listen_for_readiness(self: &Rc<Self>, listener: tokio::net::TcpListener, common: &Common) {
         let budget = Budget::new(READINESS_DESCRIPTORS, 0, READINESS_USE);
-        let front = Front::new(self.clone(), Common { budget, ..common.clone() });
+        let front = Acceptor::new(self.clone(), Common { budget, ..common.clone() });
         let gate = Rc::new(Gate::default());
         tokio::task::spawn_local(front.accept(listener, gate.clone(), false));
         gate.open();
@@ -339,7 +339,7 @@
     /// Advances a graceful shutdown; returns whether it has completed.
     fn continue_shutdown(&self, shutdown: Shutdown) -> bool {
         let now = Instant::now();
-        if now >= shutdown.stop_accepting && self.gate.heeded() {
+        if now >= shutdown.stop_accepting && self.gate.is_acknowledged() {
             self.gate.shut();
             self.front.close_idle();
         }
@@ -363,7 +363,7 @@
 impl Handler for RunningProxy {
     type Reply = ReplyBody;
 
-    async fn answer(&self, request: Request<Incoming>, _: &Wire) -> Response<ReplyBody> {
+    async fn answer(&self, request: Request<Incoming>, _: &RawHead) -> Response<ReplyBody> {
         let status = match (request.method(), request.uri().path(), self.is_ready.get()) {
             (&Method::GET, "/-/ready", true) => StatusCode::OK,
             (&Method::GET, "/-/ready", false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/proxy/src/server_pool.rs
+++ b/crates/proxy/src/server_pool.rs
@@ -208,7 +208,7 @@
         let Ok(Ok(connection)) = timeout(max_wait, connect).await else { return Err(ConnectError::Failed) };
         self.count(|counts| counts.opened += 1);
         // The server may have changed while connecting.
-        if !self.connections.stands(server, generation) {
+        if !self.connections.is_current(server, generation) {
             return Err(ConnectError::Failed);
         }
         Ok(ServerConnection { connection, generation, server_id, idle: None })
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -18,10 +18,10 @@
 use pinerelay_config_state::execution::ExecutionStatus;
 use pinerelay_traffic::body::BadBody;
 use pinerelay_traffic::clock::Clock;
-use pinerelay_traffic::http::{framed, Broken, Connection, Sent};
+use pinerelay_traffic::http::{framed, Connection, SendError, Sent};
 use pinerelay_traffic::node::STOP_BEFORE;
-use pinerelay_traffic::ports::{Ends, Upstream};
-use pinerelay_traffic::streamed_body::{take, Download, End, Taken, Upload};
+use pinerelay_traffic::ports::{AttemptEvents, Upstream};
+use pinerelay_traffic::streamed_body::{buffer_body, Buffered, Download, End, Upload};
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
@@ -50,7 +50,7 @@
     versions: Rc<ServiceVersions>,
     servers: Rc<ServerPool>,
     clock: Rc<Clock>,
-    core: Weak<dyn Ends<ProxyTraffic>>,
+    core: Weak<dyn AttemptEvents<ProxyTraffic>>,
     weak_self: Weak<UpstreamConnector>,
 }
 
@@ -117,7 +117,7 @@
         versions: Rc<ServiceVersions>,
         servers: Rc<ServerPool>,
         clock: Rc<Clock>,
-        core: Weak<dyn Ends<ProxyTraffic>>,
+        core: Weak<dyn AttemptEvents<ProxyTraffic>>,
     ) -> Rc<UpstreamConnector> {
         let (service, version) = (service.into(), version.into());
         Rc::new_cyclic(|weak_self| UpstreamConnector {
@@ -148,7 +148,7 @@
     }
 
     fn upload(&self) -> Option<&Rc<Upload>> {
-        self.request.body.long()
+        self.request.body.streamed()
     }
 
     /// Makes the attempt. A pooled connection that turns out to be closed before anything was written is replaced by a new one.
@@ -175,11 +175,11 @@
             Ok(Err(ConnectError::Exhausted)) => return Err(Outcome::Rejected),
             Ok(Err(ConnectError::Failed)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
-        let watchdog = &self.servers().common.vigil;
+        let watchdog = &self.servers().common.watchdog;
         if watchdog.behind() {
             // This process lags behind: a message that removes this server may not have been read yet.
             watchdog.caught_up().await;
-            if !self.servers().connections.stands(self.server, connection.generation) {
+            if !self.servers().connections.is_current(self.server, connection.generation) {
                 return Err(Outcome::ConnectFailed);
             }
         }
@@ -206,23 +206,24 @@
             }
         };
         let execution_before = self.mark_sending();
-        let response_progress = connection.heard();
+        let response_progress = connection.answer_timing();
         let result = tokio::select! {
             biased;
             result = self.exchange(&mut connection, message, idle.is_some()) => result,
             // It is unknown whether the last byte was sent, so the request may have been executed.
-            () = self.request.body.time_up(connect_deadline, STOP_MARGIN) => {
+            () = self.request.body.wait_until_due(connect_deadline, STOP_MARGIN) => {
                 return ControlFlow::Break(Outcome::TimedOut.into());
             }
         };
-        if matches!(result, Err(Broken::Unwritten(_))) {
+        if matches!(result, Err(SendError::NotWritten(_))) {
             self.unmark_sending(execution_before);
         } else {
-            let was_closed_early = matches!(result, Err(Broken::Doubtful)) && !response_progress.begun();
+            let was_closed_early =
+                matches!(result, Err(SendError::MaybeWritten)) && !response_progress.begun();
             self.servers().count_sent();
             self.servers().connections.reuse.ended(idle_for, was_closed_early);
         }
-        if self.upload().is_some_and(|upload| upload.broken()) {
+        if self.upload().is_some_and(|upload| upload.is_broken()) {
             // The client aborted the upload: this is no failure of the server.
             return ControlFlow::Break(Outcome::NotSent.into());
         }
@@ -247,7 +248,7 @@
         state.sent.set(state.sent.get() + 1);
         self.begin_observation();
         if let Some(core) = self.connector.core.upgrade() {
-            core.attempt_goes(self.id, self.number);
+            core.attempt_about_to_write(self.id, self.number);
         }
         before
     }
@@ -283,7 +284,7 @@
     /// Handles the result of an exchange.
     async fn conclude(
         &self,
-        result: Result<ReceivedResponse, Broken>,
+        result: Result<ReceivedResponse, SendError>,
         connection: AttemptConnection,
         execution_before: ExecutionStatus,
     ) -> ControlFlow<AttemptEnd, Request<Sent>> {
@@ -294,16 +295,16 @@
             Ok(ReceivedResponse::Streamed(response)) => {
                 self.stream_to_client(response, connection).await.into()
             }
-            Err(Broken::Unwritten(message)) if connection.is_reused => {
+            Err(SendError::NotWritten(message)) if connection.is_reused => {
                 return ControlFlow::Continue(*message);
             }
-            Err(Broken::Unwritten(message)) => {
+            Err(SendError::NotWritten(message)) => {
                 give_back(message.into_body());
                 Outcome::ConnectFailed.into()
             }
             // A server may execute a request before it has read all of its body.
-            Err(Broken::Doubtful) => Outcome::Reset.into(),
-            Err(Broken::Spoilt) => {
+            Err(SendError::MaybeWritten) => Outcome::Reset.into(),
+            Err(SendError::BadAnswer) => {
                 self.servers().distrust(self.server);
                 Outcome::Error.into()
             }
@@ -342,14 +343,14 @@
     async fn stream_to_client(&self, response: StreamedResponse, connection: AttemptConnection) -> Outcome {
         let StreamedResponse { head, first, rest, keep_alive } = response;
         self.request.state.execution.set(ExecutionStatus::Executed);
-        let room = &self.servers().common.room;
-        let (download, ended) = Download::new(first, rest, room.pipe_at_once());
+        let room = &self.servers().common.body_memory;
+        let (download, ended) = Download::new(first, rest, room.reserve_stream());
         let core = self.connector.core.upgrade();
-        if !core.is_some_and(|core| core.answer_begins(self.id, self.number, (head, download))) {
+        if !core.is_some_and(|core| core.answer_started(self.id, self.number, (head, download))) {
             return Outcome::Cancelled;
         }
         match ended.await {
-            Ok(End::Whole) => {
+            Ok(End::Complete) => {
                 if let Some(keep_alive) =
                     keep_alive.filter(|_| self.is_request_complete(&connection.connection))
                 {
@@ -372,7 +373,7 @@
     /// Whether the request was written and taken completely. A response may arrive before the end of the request body; a server
     /// that stops reading would parse the rest of the body as the next request.
     fn is_request_complete(&self, connection: &Connection) -> bool {
-        self.upload().is_none_or(|upload| upload.whole()) && connection.passage().taken()
+        self.upload().is_none_or(|upload| upload.is_complete()) && connection.request_timing().is_received()
     }
 
     /// Builds the request for this attempt, reusing the body of an unsent one; `None` if it may not be sent.
@@ -407,10 +408,10 @@
         connection: &mut Connection,
         message: Request<Sent>,
         is_reused: bool,
-    ) -> Result<ReceivedResponse, Broken> {
+    ) -> Result<ReceivedResponse, SendError> {
         let response = connection.send(message).await?;
         if !framed(&response) {
-            return Err(Broken::Spoilt);
+            return Err(SendError::BadAnswer);
         }
         let (head, body) = response.into_parts();
         let class = classify(head.status, &head.headers, &self.request.request.received().id);
@@ -418,7 +419,7 @@
         // earlier request, while this request is still executed.
         let is_named = has_request_id(&head.headers);
         if class == ResponseClass::Untrusted || !is_named && is_reused {
-            return Err(Broken::Spoilt);
+            return Err(SendError::BadAnswer);
         }
         // The connection of an HTTP/1.0 server is not kept: for it the HTTP client library sends no chunks, and so drops a body of
         // unknown length.
@@ -429,21 +430,23 @@
             Ok(ReceivedResponse::Complete(CompleteResponse { class, response, keep_alive }))
         };
         let needs_no_body = matches!(class, ResponseClass::NotExecuted | ResponseClass::Misdirected);
-        match take(body, BUFFERED_BODY_LENGTH, None, &self.servers().common.room).await {
-            Ok(Taken::Whole(body)) => complete(head, body, keep_alive),
-            Ok(Taken::Part(first, rest)) if class == ResponseClass::Answer => {
+        match buffer_body(body, BUFFERED_BODY_LENGTH, None, &self.servers().common.body_memory).await {
+            Ok(Buffered::Complete(body)) => complete(head, body, keep_alive),
+            Ok(Buffered::Partial(first, rest)) if class == ResponseClass::Answer => {
                 Ok(ReceivedResponse::Streamed(StreamedResponse { head, first, rest, keep_alive }))
             }
             _ if needs_no_body => complete(head, Bytes::new(), None),
-            Ok(Taken::Part(..)) | Err(BadBody::Malformed | BadBody::TooLong) => Err(Broken::Spoilt),
-            Err(BadBody::Broken) => Err(Broken::Doubtful),
+            Ok(Buffered::Partial(..)) | Err(BadBody::Malformed | BadBody::TooLong) => {
+                Err(SendError::BadAnswer)
+            }
+            Err(BadBody::Broken) => Err(SendError::MaybeWritten),
         }
     }
 }
 
 /// Returns an unsent body to its request, so that another attempt can send it.
 fn give_back(body: Sent) {
-    if let Sent::Long(body) = body {
+    if let Sent::Streamed(body) = body {
         body.give_back();
     }
 }
@@ -483,13 +486,13 @@
             attempt.end_observation(&end);
             let AttemptEnd { outcome, response } = end;
             if let Some(core) = core.upgrade() {
-                core.attempt_over(&id, number, outcome, response);
+                core.attempt_ended(&id, number, outcome, response);
             }
         });
         task.abort_handle()
     }
 
-    fn goes_on(&self, request: &ProxiedRequest) -> bool {
+    fn would_retry(&self, request: &ProxiedRequest) -> bool {
         let (now, sent) = (self.clock.now(), request.state.sent.get());
         // As in `take_retry`, the first attempt needs no permission.
         sent == 0
--- a/crates/proxy/tests/forwarded_request.rs
+++ b/crates/proxy/tests/forwarded_request.rs
@@ -154,13 +154,13 @@
 
 #[gtest]
 fn the_framing_follows_the_received_body_and_headers() {
-    let empty = Payload::Whole(Bytes::new());
+    let empty = Payload::Buffered(Bytes::new());
     let with = |name: HeaderName, value: &'static str| {
         HeaderMap::from_iter([(name, HeaderValue::from_static(value))])
     };
     expect_that!(BodyFraming::of(&empty, &HeaderMap::new()), eq(BodyFraming::Absent));
     expect_that!(BodyFraming::of(&empty, &with(CONTENT_LENGTH, "0")), eq(BodyFraming::Length(0)));
     expect_that!(BodyFraming::of(&empty, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(0)));
-    let payload = Payload::Whole(Bytes::from_static(b"body"));
+    let payload = Payload::Buffered(Bytes::from_static(b"body"));
     expect_that!(BodyFraming::of(&payload, &with(TRANSFER_ENCODING, "chunked")), eq(BodyFraming::Length(4)));
 }
--- a/crates/proxy/tests/request_handler.rs
+++ b/crates/proxy/tests/request_handler.rs
@@ -23,12 +23,12 @@
 use pinerelay_proxy::request_handler::{Admitter, RequestHandler};
 use pinerelay_proxy::server_pool::ServerPool;
 use pinerelay_proxy::services::Services;
-use pinerelay_traffic::acceptor::Front;
-use pinerelay_traffic::body_memory::Room;
+use pinerelay_traffic::acceptor::Acceptor;
+use pinerelay_traffic::body_memory::BodyMemoryPool;
 use pinerelay_traffic::budget::Budget;
 use pinerelay_traffic::clock::Clock;
 use pinerelay_traffic::listen::Gate;
-use pinerelay_traffic::watchdog::Vigil;
+use pinerelay_traffic::watchdog::Watchdog;
 use pinerelay_traffic::Common;
 use recorder::{header, Recorder, ResponseTiming};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -83,8 +83,12 @@
 impl Proxy {
     /// Starts a proxy with a route to the service `first`; the servers of `first` and `second` are known.
     async fn start(memory_mb: usize, first: &Recorder, second: &Recorder) -> Proxy {
-        let room = Room::of(memory_mb);
-        let common = Common { budget: Budget::new(1_000, 10, 0.5), room: room.clone(), vigil: Vigil::new() };
+        let room = BodyMemoryPool::for_process(memory_mb);
+        let common = Common {
+            budget: Budget::new(1_000, 10, 0.5),
+            body_memory: room.clone(),
+            watchdog: Watchdog::new(),
+        };
         let clock = Rc::new(Clock::new());
         let servers = ServerPool::new(common.clone(), RetryBudget::new(RetryBounds::default()));
         let services = Services::new(clock.clone(), servers.clone(), "z", 1);
@@ -97,7 +101,7 @@
         handler.set_routing_table(table("first", "t1"));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let front = Front::new(handler.clone(), common);
+        let front = Acceptor::new(handler.clone(), common);
         let gate = Rc::new(Gate::default());
         tokio::task::spawn_local(front.accept(listener, gate.clone(), false));
         gate.open();
--- a/crates/proxy/tests/upstream.rs
+++ b/crates/proxy/tests/upstream.rs
@@ -33,12 +33,12 @@
 use pinerelay_proxy::server_pool::ServerPool;
 use pinerelay_proxy::upstream::UpstreamConnector;
 use pinerelay_proxy::versions::{ObservedRoute, ServiceVersions};
-use pinerelay_traffic::body_memory::Room;
+use pinerelay_traffic::body_memory::BodyMemoryPool;
 use pinerelay_traffic::budget::Budget;
 use pinerelay_traffic::clock::Clock;
-use pinerelay_traffic::ports::{Core, Ends, Payload, Upstream};
+use pinerelay_traffic::ports::{AttemptEvents, Core, Payload, Upstream};
 use pinerelay_traffic::streamed_body::{Download, Upload};
-use pinerelay_traffic::watchdog::Vigil;
+use pinerelay_traffic::watchdog::Watchdog;
 use pinerelay_traffic::Common;
 use recorder::{header, Recorder, ResponseTiming};
 use tokio::io::AsyncWriteExt;
@@ -54,20 +54,20 @@
 impl Core for OutcomeRecorder {
     fn event(&self, _: Event) {}
 
-    fn upload_goes(&self, _: &RequestId, _: usize, _: bool) {}
+    fn upload_progressed(&self, _: &RequestId, _: usize, _: bool) {}
 
     fn avoids(&self, _: ServerId) -> bool {
         false
     }
 }
 
-impl Ends<ProxyTraffic> for OutcomeRecorder {
-    fn attempt_over(&self, _: &RequestId, _: usize, outcome: Outcome, answer: Option<Response<Bytes>>) {
+impl AttemptEvents<ProxyTraffic> for OutcomeRecorder {
+    fn attempt_ended(&self, _: &RequestId, _: usize, outcome: Outcome, answer: Option<Response<Bytes>>) {
         self.outcomes.borrow_mut().push((outcome, answer.is_some()));
         self.ended.notify_one();
     }
 
-    fn answer_begins(&self, _: &RequestId, _: usize, _: (Parts, Download)) -> bool {
+    fn answer_started(&self, _: &RequestId, _: usize, _: (Parts, Download)) -> bool {
         false
     }
 }
@@ -114,13 +114,17 @@
     /// The same with a server at this address.
     fn at(address: SocketAddr, requests_read: Receiver<()>) -> TestUpstream {
         let SocketAddr::V4(address) = address else { panic!("a loopback address") };
-        let common = Common { budget: Budget::new(100, 10, 0.5), room: Room::of(64), vigil: Vigil::new() };
+        let common = Common {
+            budget: Budget::new(100, 10, 0.5),
+            body_memory: BodyMemoryPool::for_process(64),
+            watchdog: Watchdog::new(),
+        };
         let retry_bounds = RetryBounds { ratio: 0.0, extra: 0.0, ..RetryBounds::default() };
         let servers = ServerPool::new(common, RetryBudget::new(retry_bounds));
         servers.set_server(SERVER, "i-7", Some(&harness::server(address)));
         let (outcome_recorder, clock) = (Rc::<OutcomeRecorder>::default(), Rc::new(Clock::new()));
-        let core: Weak<dyn Ends<ProxyTraffic>> =
-            Rc::downgrade(&(outcome_recorder.clone() as Rc<dyn Ends<ProxyTraffic>>));
+        let core: Weak<dyn AttemptEvents<ProxyTraffic>> =
+            Rc::downgrade(&(outcome_recorder.clone() as Rc<dyn AttemptEvents<ProxyTraffic>>));
         let connector = UpstreamConnector::new(
             "s1",
             "v1",
@@ -161,7 +165,7 @@
     let headers = HeaderMap::from_iter([(REQUEST_ID, received.id.clone())]);
     ProxiedRequest {
         request: ForwardedRequest::new(received, headers),
-        body: Payload::Whole(Bytes::from_static(b"body")),
+        body: Payload::Buffered(Bytes::from_static(b"body")),
         route: ObservedRoute { route: 1, target_class: 9 },
         is_idempotent: false,
         max_attempts: 2,
@@ -211,7 +215,7 @@
 #[gtest]
 fn a_request_that_violates_a_forwarding_invariant_is_not_written() {
     run_test(async |upstream| {
-        let invalid = ProxiedRequest { body: Payload::Whole(Bytes::from_static(b"another")), ..forward() };
+        let invalid = ProxiedRequest { body: Payload::Buffered(Bytes::from_static(b"another")), ..forward() };
         let state = invalid.state.clone();
         expect_that!(upstream.attempt(invalid, 1_000_000).await, eq((Outcome::NotSent, false)));
         expect_that!(state.violation.get(), some(eq(ForwardingViolation::BodyFraming)));
@@ -248,9 +252,9 @@
 fn an_attempt_that_has_written_nothing_may_be_replaced_without_budget() {
     run_test(async |upstream| {
         let forward = forward();
-        expect_that!(upstream.connector.goes_on(&forward), eq(true));
+        expect_that!(upstream.connector.would_retry(&forward), eq(true));
         forward.state.sent.set(1);
-        expect_that!(upstream.connector.goes_on(&forward), eq(false));
+        expect_that!(upstream.connector.would_retry(&forward), eq(false));
     });
 }
 
@@ -278,7 +282,7 @@
 /// A request with a long body.
 fn forward_long(upload: &Rc<Upload>, length: u64) -> ProxiedRequest {
     let received = ReceivedRequest { framing: BodyFraming::Length(length), ..received() };
-    ProxiedRequest { body: Payload::Long(upload.clone()), ..forward_received(received) }
+    ProxiedRequest { body: Payload::Streamed(upload.clone()), ..forward_received(received) }
 }
 
 #[gtest]
--- a/crates/registry/src/run.rs
+++ b/crates/registry/src/run.rs
@@ -25,12 +25,12 @@
 use pinerelay_peer_link::link::{LinkEvent, LinkEvents, LinkHandle, Links};
 use pinerelay_peer_link::message::{CallReply, Hello, Metric, PeerMessage, Role};
 use pinerelay_rollout::decider::RolloutBounds;
-use pinerelay_traffic::acceptor::{last, Front, Handler};
-use pinerelay_traffic::body_memory::Room;
+use pinerelay_traffic::acceptor::{mark_last_answer, Acceptor, Handler};
+use pinerelay_traffic::body_memory::BodyMemoryPool;
 use pinerelay_traffic::budget::Budget;
 use pinerelay_traffic::listen::{listen, Gate};
-use pinerelay_traffic::raw_head::Wire;
-use pinerelay_traffic::watchdog::Vigil;
+use pinerelay_traffic::raw_head::RawHead;
+use pinerelay_traffic::watchdog::Watchdog;
 use pinerelay_traffic::Common;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::oneshot;
@@ -91,10 +91,10 @@
     let reserved = descriptors / RESERVED_DESCRIPTORS_DIVISOR;
     let common = Common {
         budget: Budget::new(descriptors, reserved, CALLER_DESCRIPTOR_SHARE),
-        room: Room::of(running.settings.limits.memory_mb),
-        vigil: Vigil::new(),
+        body_memory: BodyMemoryPool::for_process(running.settings.limits.memory_mb),
+        watchdog: Watchdog::new(),
     };
-    let front = Front::new(running.clone(), common);
+    let front = Acceptor::new(running.clone(), common);
     let gate = Rc::new(Gate::default());
     tokio::task::spawn_local(front.clone().accept(listen(control.into(), BACKLOG)?, gate.clone(), false));
     gate.open();
@@ -302,7 +302,7 @@
 impl Handler for RunningRegistry {
     type Reply = ReplyBody;
 
-    async fn answer(&self, request: Request<Incoming>, _: &Wire) -> Response<ReplyBody> {
+    async fn answer(&self, request: Request<Incoming>, _: &RawHead) -> Response<ReplyBody> {
         let CallReply { status, body } = self.answer_request(request).await;
         self.call_counts.borrow_mut().count(status);
         let never: fn(Infallible) -> io::Error = |never| match never {};
@@ -310,7 +310,7 @@
         *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if self.is_shutting_down.get() || matches!(status, 400 | 408 | 413) {
-            last(&mut response);
+            mark_last_answer(&mut response);
         }
         response
     }
--- a/crates/traffic/src/acceptor.rs
+++ b/crates/traffic/src/acceptor.rs
@@ -23,7 +23,7 @@
 use crate::budget::{Budget, Slot};
 use crate::connection::{ClientState, ClientStream};
 use crate::listen::Gate;
-use crate::raw_head::Wire;
+use crate::raw_head::RawHead;
 use crate::watchdog::TICK;
 use crate::Common;
 
@@ -44,7 +44,11 @@
     /// The body of an answer.
     type Reply: Body<Data = Bytes, Error = io::Error> + 'static;
     /// Answers one request. If the client disconnects first, the future is dropped.
-    fn answer(&self, request: Request<Incoming>, wire: &Wire) -> impl Future<Output = Response<Self::Reply>>;
+    fn answer(
+        &self,
+        request: Request<Incoming>,
+        wire: &RawHead,
+    ) -> impl Future<Output = Response<Self::Reply>>;
     /// Closes an idle upstream connection to free its descriptor; false if there is none.
     fn close_an_idle(&self) -> bool;
     /// Maximum time to receive a request head, from connecting or from its first byte.
@@ -54,7 +58,7 @@
 }
 
 /// The client connections of a process.
-pub struct Front<H> {
+pub struct Acceptor<H> {
     handler: Rc<H>,
     budget: Rc<Budget>,
     /// Each change asks the connections open at that time to close as soon as they are idle.
@@ -63,28 +67,28 @@
     open: RefCell<BTreeMap<u64, Rc<ClientState>>>,
     opened: Cell<u64>,
     /// Another process accepts on the same socket.
-    beside: Cell<bool>,
+    is_shared: Cell<bool>,
 }
 
-impl<H: Handler> Front<H> {
+impl<H: Handler> Acceptor<H> {
     /// Starts without connections, and a task that enforces the time-outs at each watchdog tick.
-    pub fn new(handler: Rc<H>, Common { budget, vigil, .. }: Common) -> Rc<Self> {
-        let front = Rc::new(Front {
+    pub fn new(handler: Rc<H>, Common { budget, watchdog, .. }: Common) -> Rc<Self> {
+        let acceptor = Rc::new(Acceptor {
             handler,
             budget,
             closing: watch::channel(0).0,
             open: RefCell::default(),
             opened: Cell::default(),
-            beside: Cell::default(),
+            is_shared: Cell::default(),
         });
-        let weak = Rc::downgrade(&front);
+        let weak = Rc::downgrade(&acceptor);
         tokio::task::spawn_local(async move {
             loop {
                 tokio::time::sleep(TICK).await;
-                vigil.tick().await;
-                let Some(front) = weak.upgrade() else { return };
-                let (head, idle_for) = (front.handler.head_wait(), front.handler.idle_wait());
-                for state in front.open.borrow().values() {
+                watchdog.tick().await;
+                let Some(acceptor) = weak.upgrade() else { return };
+                let (head, idle_for) = (acceptor.handler.head_wait(), acceptor.handler.idle_wait());
+                for state in acceptor.open.borrow().values() {
                     if state.overdue(head) {
                         state.cut.notify_one();
                     } else if idle_for.is_some_and(|most| state.idle_for(most)) {
@@ -93,7 +97,7 @@
                 }
             }
         });
-        front
+        acceptor
     }
 
     /// Asks all open connections to close when idle.
@@ -112,12 +116,12 @@
     /// closed, as no other process would accept what is queued there.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, gate: Rc<Gate>, handed_on: bool) {
         loop {
-            gate.is(true).await;
+            gate.wait_until(true).await;
             self.accept_while_open(&listener, &gate).await;
             if !handed_on {
                 break;
             }
-            gate.heed();
+            gate.acknowledge();
         }
         // Danger: the runtime's readiness of the listener is as old as its last poll, so the socket itself is
         // asked.
@@ -129,21 +133,21 @@
                 }
             }
         }
-        gate.heed();
+        gate.acknowledge();
     }
 
     /// Danger: freeing a slot ahead of need closes a connection whose client may come back and need one. So a
     /// connection is accepted first, with a descriptor reserved for this, and then gets a free slot or one
     /// that is freed for it.
     async fn accept_while_open(self: &Rc<Self>, listener: &TcpListener, gate: &Gate) {
-        let mut shut = std::pin::pin!(gate.is(false));
+        let mut shut = std::pin::pin!(gate.wait_until(false));
         loop {
             tokio::select! {
                 biased;
                 () = shut.as_mut() => return,
                 () = self.budget.client_finds_slot() => {}
-                () = tokio::time::sleep(OTHER_PROCESS_TURN), if self.beside.get() => {}
-                () = std::future::ready(()), if !self.beside.get() => {}
+                () = tokio::time::sleep(OTHER_PROCESS_TURN), if self.is_shared.get() => {}
+                () = std::future::ready(()), if !self.is_shared.get() => {}
             }
             let accepted = tokio::select! {
                 biased;
@@ -162,8 +166,8 @@
     }
 
     /// Sets whether another process accepts on the same socket.
-    pub fn beside(&self, another: bool) {
-        self.beside.set(another);
+    pub fn set_shared(&self, another: bool) {
+        self.is_shared.set(another);
     }
 
     async fn slot(&self) -> Slot {
@@ -174,20 +178,20 @@
 
     fn open(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
         let state = ClientState::new(self.budget.clone());
-        let front = self.clone();
+        let acceptor = self.clone();
         let mut closing = self.closing.subscribe();
         tokio::task::spawn_local(async move {
             let _slot = slot;
-            let _open_entry = OpenEntry::new(&front, &state);
+            let _open_entry = OpenEntry::new(&acceptor, &state);
             // Without TCP_NODELAY answers are delayed, not wrong.
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| {
-                let (handler, state) = (front.handler.clone(), state.clone());
+                let (handler, state) = (acceptor.handler.clone(), state.clone());
                 async move {
                     state.request_received(&request);
                     let mut response = handler.answer(request, &state.wire).await;
                     if state.answered() {
-                        last(&mut response);
+                        mark_last_answer(&mut response);
                     }
                     Ok::<_, Infallible>(response)
                 }
@@ -231,27 +235,27 @@
 }
 
 /// Marks an answer as the last on its connection: `Connection: close`.
-pub fn last<B>(response: &mut Response<B>) {
+pub fn mark_last_answer<B>(response: &mut Response<B>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// Keeps a connection in the map of open ones until dropped.
 struct OpenEntry<H> {
-    front: Rc<Front<H>>,
+    acceptor: Rc<Acceptor<H>>,
     number: u64,
 }
 
 impl<H> OpenEntry<H> {
-    fn new(front: &Rc<Front<H>>, state: &Rc<ClientState>) -> Self {
-        let number = front.opened.get();
-        front.opened.set(number + 1);
-        front.open.borrow_mut().insert(number, state.clone());
-        OpenEntry { front: front.clone(), number }
+    fn new(acceptor: &Rc<Acceptor<H>>, state: &Rc<ClientState>) -> Self {
+        let number = acceptor.opened.get();
+        acceptor.opened.set(number + 1);
+        acceptor.open.borrow_mut().insert(number, state.clone());
+        OpenEntry { acceptor: acceptor.clone(), number }
     }
 }
 
 impl<H> Drop for OpenEntry<H> {
     fn drop(&mut self) {
-        self.front.open.borrow_mut().remove(&self.number);
+        self.acceptor.open.borrow_mut().remove(&self.number);
     }
 }
--- a/crates/traffic/src/body.rs
+++ b/crates/traffic/src/body.rs
@@ -17,7 +17,7 @@
 }
 
 /// Buffers a complete body of at most `max_bytes` bytes.
-pub async fn whole(body: Incoming, max_bytes: usize) -> Result<Bytes, BadBody> {
+pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BadBody> {
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(BadBody::TooLong);
     }
--- a/crates/traffic/src/body_memory.rs
+++ b/crates/traffic/src/body_memory.rs
@@ -22,7 +22,7 @@
 
 /// The memory that all bodies share.
 #[derive(Clone)]
-pub struct Room(Arc<Usage>);
+pub struct BodyMemoryPool(Arc<Usage>);
 
 struct Usage {
     capacity: usize,
@@ -31,19 +31,19 @@
 }
 
 /// Reserved bytes; released when dropped.
-pub struct Hold {
-    room: Room,
+pub struct Reservation {
+    memory: BodyMemoryPool,
     bytes: usize,
 }
 
-impl Room {
+impl BodyMemoryPool {
     /// The body memory of a process with a memory limit of `memory_mb` MiB.
-    pub fn of(memory_mb: usize) -> Room {
-        Room::with_capacity(memory_mb.saturating_mul(1024 * 1024) / MEMORY_DIVISOR)
+    pub fn for_process(memory_mb: usize) -> BodyMemoryPool {
+        BodyMemoryPool::with_capacity(memory_mb.saturating_mul(1024 * 1024) / MEMORY_DIVISOR)
     }
 
-    fn with_capacity(capacity: usize) -> Room {
-        Room(Arc::new(Usage {
+    fn with_capacity(capacity: usize) -> BodyMemoryPool {
+        BodyMemoryPool(Arc::new(Usage {
             capacity,
             max_body_bytes: AtomicU64::new(DEFAULT_MAX_BODY_BYTES),
             reserved: AtomicUsize::new(0),
@@ -56,7 +56,7 @@
     }
 
     /// Sets the maximum length of a body, in bytes.
-    pub fn lengthen(&self, max_body_bytes: u64) {
+    pub fn set_max_body_bytes(&self, max_body_bytes: u64) {
         self.0.max_body_bytes.store(max_body_bytes, Ordering::Relaxed);
     }
 
@@ -65,39 +65,39 @@
     }
 
     /// An empty reservation.
-    pub fn reservation(&self) -> Hold {
-        Hold { room: self.clone(), bytes: 0 }
+    pub fn reservation(&self) -> Reservation {
+        Reservation { memory: self.clone(), bytes: 0 }
     }
 
     /// Reserves the buffers of one more streamed request, if enough memory is free.
-    pub fn pipe(&self) -> Option<Hold> {
-        (self.free() >= STREAM_BUFFERS).then(|| self.pipe_at_once())
+    pub fn try_reserve_stream(&self) -> Option<Reservation> {
+        (self.free() >= STREAM_BUFFERS).then(|| self.reserve_stream())
     }
 
     /// Reserves the buffers of one more streamed answer, free or not: its request may have run, so it has to
     /// be delivered.
-    pub fn pipe_at_once(&self) -> Hold {
+    pub fn reserve_stream(&self) -> Reservation {
         let mut reservation = self.reservation();
         reservation.add(STREAM_BUFFERS);
         reservation
     }
 }
 
-impl Hold {
+impl Reservation {
     /// Reserves `bytes` more bytes, which have been received already.
     pub fn add(&mut self, bytes: usize) {
         self.bytes += bytes;
-        self.room.0.reserved.fetch_add(bytes, Ordering::Relaxed);
+        self.memory.0.reserved.fetch_add(bytes, Ordering::Relaxed);
     }
 
     /// Maximum length of the body, in bytes.
     pub fn max_body_bytes(&self) -> u64 {
-        self.room.max_body_bytes()
+        self.memory.max_body_bytes()
     }
 
     /// Whether more of the same body may be buffered.
     pub fn may_grow(&self) -> bool {
-        self.bytes <= self.room.free() / FREE_DIVISOR
+        self.bytes <= self.memory.free() / FREE_DIVISOR
     }
 
     /// Ties the reservation to `bytes`: it is released when the last clone or slice of them is dropped.
@@ -109,15 +109,15 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.room.0.reserved.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.memory.0.reserved.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
 struct ReservedBytes {
     bytes: Bytes,
-    _reservation: Hold,
+    _reservation: Reservation,
 }
 
 impl AsRef<[u8]> for ReservedBytes {
@@ -131,8 +131,8 @@
     use super::*;
 
     /// Adds 1 KiB to each of `bodies` reservations in turn until none may grow.
-    fn stall(room: &Room, bodies: usize) -> Vec<Hold> {
-        let mut reservations: Vec<Hold> = (0..bodies).map(|_| room.reservation()).collect();
+    fn stall(memory: &BodyMemoryPool, bodies: usize) -> Vec<Reservation> {
+        let mut reservations: Vec<Reservation> = (0..bodies).map(|_| memory.reservation()).collect();
         loop {
             let mut grown = false;
             for reservation in reservations
@@ -151,41 +151,41 @@
     #[test]
     fn some_memory_stays_free_however_many_bodies_stall() {
         for bodies in [1, 10, 100, 1_000] {
-            let room = Room::with_capacity(2_000_000);
-            let reservations = stall(&room, bodies);
-            assert!(room.free() > 0, "{bodies} bodies reserve all memory");
+            let memory = BodyMemoryPool::with_capacity(2_000_000);
+            let reservations = stall(&memory, bodies);
+            assert!(memory.free() > 0, "{bodies} bodies reserve all memory");
             assert!(
                 bodies > 10 || reservations.iter().all(|reservation| reservation.bytes == 64 * 1024),
                 "{bodies}: each body gets all that it asks for"
             );
             drop(reservations);
-            assert_eq!(room.free(), 2_000_000);
+            assert_eq!(memory.free(), 2_000_000);
         }
     }
 
     #[test]
     fn a_reservation_lasts_until_the_last_slice_is_dropped() {
-        let room = Room::with_capacity(100_000);
-        let mut reservation = room.reservation();
+        let memory = BodyMemoryPool::with_capacity(100_000);
+        let mut reservation = memory.reservation();
         reservation.add(5);
         let bytes = reservation.attach_to(Bytes::from_static(b"hello"));
         let part = bytes.slice(1..3);
         drop(bytes);
-        assert_eq!((part.as_ref(), room.free()), (&b"el"[..], 99_995));
+        assert_eq!((part.as_ref(), memory.free()), (&b"el"[..], 99_995));
         drop(part);
-        assert_eq!(room.free(), 100_000);
+        assert_eq!(memory.free(), 100_000);
     }
 
     #[test]
     fn a_streamed_request_needs_free_memory_and_a_streamed_answer_does_not() {
-        let room = Room::with_capacity(2 * STREAM_BUFFERS);
-        let first = room.pipe();
-        let answer = room.pipe_at_once();
-        assert!(first.is_some() && room.pipe().is_none());
-        let beyond = room.pipe_at_once();
+        let memory = BodyMemoryPool::with_capacity(2 * STREAM_BUFFERS);
+        let first = memory.try_reserve_stream();
+        let answer = memory.reserve_stream();
+        assert!(first.is_some() && memory.try_reserve_stream().is_none());
+        let beyond = memory.reserve_stream();
         drop((first, answer));
-        assert!(room.pipe().is_some(), "one of three is still reserved");
+        assert!(memory.try_reserve_stream().is_some(), "one of three is still reserved");
         drop(beyond);
-        assert_eq!(room.free(), 2 * STREAM_BUFFERS);
+        assert_eq!(memory.free(), 2 * STREAM_BUFFERS);
     }
 }
--- a/crates/traffic/src/connection.rs
+++ b/crates/traffic/src/connection.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 
 use crate::budget::{Budget, Ticket};
-use crate::raw_head::Wire;
+use crate::raw_head::RawHead;
 use crate::streamed_body::STALL_TIMEOUT;
 
 /// State of one client connection.
@@ -43,7 +43,7 @@
     head_since: Cell<Option<Instant>>,
     /// Since when writes to the client are blocked.
     write_blocked_since: Cell<Option<Instant>>,
-    pub(crate) wire: Wire,
+    pub(crate) wire: RawHead,
 }
 
 fn has_lasted(since: &Cell<Option<Instant>>, most: Duration) -> bool {
@@ -72,7 +72,7 @@
             lifecycle: Cell::default(),
             head_since: Cell::new(Some(Instant::now())),
             write_blocked_since: Cell::default(),
-            wire: Wire::default(),
+            wire: RawHead::default(),
         })
     }
 
--- a/crates/traffic/src/http.rs
+++ b/crates/traffic/src/http.rs
@@ -21,7 +21,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep_until, Instant};
 
-use crate::request_timing::Passage;
+use crate::request_timing::RequestTiming;
 use crate::streamed_body::{Outgoing, UploadBody};
 
 /// Maximum read-ahead of a connection, and so the maximum length of an answer's head.
@@ -70,30 +70,30 @@
     /// Its last byte has been passed to the HTTP connection.
     body_taken: Cell<bool>,
     /// How many bytes have been written to the socket, and when.
-    passage: Cell<Passage>,
+    request_timing: Cell<RequestTiming>,
     on_written: OnWritten,
 }
 
 impl WriteProgress {
     fn begin(&self, body_taken: bool) {
         self.body_taken.set(body_taken);
-        self.passage.take();
+        self.request_timing.take();
     }
 
     /// Records bytes written to the socket.
     fn record_write(&self, bytes: usize) {
-        let mut passage = self.passage.get();
-        passage.begun.get_or_insert_with(Instant::now);
-        passage.bytes += bytes as u64;
-        self.passage.set(passage);
+        let mut request_timing = self.request_timing.get();
+        request_timing.begun.get_or_insert_with(Instant::now);
+        request_timing.bytes += bytes as u64;
+        self.request_timing.set(request_timing);
     }
 
     /// The HTTP connection has written everything that it was given to the socket.
     fn flushed(&self) {
-        let mut passage = self.passage.get();
-        if self.body_taken.get() && passage.bytes > 0 && passage.flushed.is_none() {
-            passage.flushed = Some(Instant::now());
-            self.passage.set(passage);
+        let mut request_timing = self.request_timing.get();
+        if self.body_taken.get() && request_timing.bytes > 0 && request_timing.flushed.is_none() {
+            request_timing.flushed = Some(Instant::now());
+            self.request_timing.set(request_timing);
             self.on_written.iter().for_each(|on_written| on_written());
         }
     }
@@ -207,13 +207,13 @@
 }
 
 /// How sending a request on a connection failed.
-pub enum Broken {
+pub enum SendError {
     /// Nothing was written; the request is handed back.
-    Unwritten(Box<Request<Sent>>),
+    NotWritten(Box<Request<Sent>>),
     /// Part of it may have been written, and the connection failed.
-    Doubtful,
+    MaybeWritten,
     /// The answer can't be parsed or can't be trusted. The connection must not be used again.
-    Spoilt,
+    BadAnswer,
 }
 
 impl Connection {
@@ -222,8 +222,8 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let answer_timing = Rc::<AnswerTiming>::default();
-        let (body_taken, passage) = Default::default();
-        let written = Rc::new(WriteProgress { body_taken, passage, on_written });
+        let (body_taken, request_timing) = Default::default();
+        let written = Rc::new(WriteProgress { body_taken, request_timing, on_written });
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_READ_AHEAD)
             .handshake(TokioIo::new(MonitoredStream {
@@ -247,28 +247,28 @@
     }
 
     /// Timing of the answer to the next request.
-    pub fn heard(&self) -> Rc<AnswerTiming> {
+    pub fn answer_timing(&self) -> Rc<AnswerTiming> {
         self.answer_timing.since.set(None);
         self.answer_timing.clone()
     }
 
     /// When the current request was written, and when its answer began.
-    pub fn passage(&self) -> Passage {
-        Passage { answered: self.answer_timing.since.get(), ..self.written.passage.get() }
+    pub fn request_timing(&self) -> RequestTiming {
+        RequestTiming { answered: self.answer_timing.since.get(), ..self.written.request_timing.get() }
     }
 
     /// Sends one request and waits for the head of its answer.
-    pub async fn send(&mut self, request: Request<Sent>) -> Result<Response<Incoming>, Broken> {
+    pub async fn send(&mut self, request: Request<Sent>) -> Result<Response<Incoming>, SendError> {
         if self.sender.ready().await.is_err() {
-            return Err(Broken::Unwritten(Box::new(request)));
+            return Err(SendError::NotWritten(Box::new(request)));
         }
         self.written.begin(request.body().is_end_stream());
         let written = self.written.clone();
         let request = request.map(|body| TrackedBody { body, written });
         self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
-            Some(request) => Broken::Unwritten(Box::new(request.map(|tracked| tracked.body))),
-            None if e.error().is_parse() => Broken::Spoilt,
-            None => Broken::Doubtful,
+            Some(request) => SendError::NotWritten(Box::new(request.map(|tracked| tracked.body))),
+            None if e.error().is_parse() => SendError::BadAnswer,
+            None => SendError::MaybeWritten,
         })
     }
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -26,7 +26,7 @@
     /// File descriptor budget.
     pub budget: Rc<budget::Budget>,
     /// Memory for body buffers.
-    pub room: body_memory::Room,
+    pub body_memory: body_memory::BodyMemoryPool,
     /// Detects that the process was not scheduled for a while.
-    pub vigil: Rc<watchdog::Vigil>,
+    pub watchdog: Rc<watchdog::Watchdog>,
 }
--- a/crates/traffic/src/listen.rs
+++ b/crates/traffic/src/listen.rs
@@ -40,17 +40,17 @@
 
     /// Whether the acceptor has acknowledged the last shut: every accepted connection is then among the open
     /// ones.
-    pub fn heeded(&self) -> bool {
+    pub fn is_acknowledged(&self) -> bool {
         !self.shutting.get()
     }
 
     /// The acceptor acknowledges that it has stopped.
-    pub fn heed(&self) {
+    pub fn acknowledge(&self) {
         self.shutting.set(false);
     }
 
     /// Returns once the gate is in the given state.
-    pub async fn is(&self, open: bool) {
+    pub async fn wait_until(&self, open: bool) {
         loop {
             let changed = self.changed.notified();
             if self.open.get() == open {
--- a/crates/traffic/src/node.rs
+++ b/crates/traffic/src/node.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
-use crate::ports::{Answer, Core, Ends, MemberSource, QuotaStore, Traffic, Upstream};
+use crate::ports::{Answer, AttemptEvents, Core, MemberSource, QuotaStore, Traffic, Upstream};
 
 /// Attempts are given up this long before the client's deadline (in microseconds), so that the answer still
 /// reaches it.
@@ -73,12 +73,12 @@
 pub struct Duplicate;
 
 /// A client that waits for a request's answer. Dropping it reports that the client is gone.
-pub struct Waited<T: Traffic> {
+pub struct WaitingClient<T: Traffic> {
     node: Rc<Node<T>>,
     id: RequestId,
 }
 
-impl<T: Traffic> Drop for Waited<T> {
+impl<T: Traffic> Drop for WaitingClient<T> {
     fn drop(&mut self) {
         self.node.client_gone(&self.id);
     }
@@ -91,7 +91,7 @@
         controller: Controller,
         try_limit: u32,
         clock: Rc<Clock>,
-        join: impl FnOnce(Weak<dyn Ends<T>>) -> Peers<T>,
+        join: impl FnOnce(Weak<dyn AttemptEvents<T>>) -> Peers<T>,
     ) -> Rc<Self> {
         Rc::new_cyclic(|me: &Weak<Node<T>>| Node {
             clock,
@@ -129,7 +129,7 @@
     }
 
     /// Whether a client waits for an answer.
-    pub fn waited_for(&self) -> bool {
+    pub fn has_waiting_clients(&self) -> bool {
         self.open.borrow().values().any(|o| o.answer.is_some())
     }
 
@@ -160,8 +160,10 @@
                 match forward {
                     // Danger: a request that may not be sent to another server must not be cancelled because
                     // of its server's silence.
-                    Some(forward) if !self.peers.upstream.goes_on(&forward) => {}
-                    Some(forward) if T::outlasts_cancel(&forward) => self.supersede(&id, attempt as usize),
+                    Some(forward) if !self.peers.upstream.would_retry(&forward) => {}
+                    Some(forward) if T::continues_when_cancelled(&forward) => {
+                        self.supersede(&id, attempt as usize)
+                    }
                     _ => self.end(&id, attempt as usize, Outcome::Cancelled, None),
                 }
             }
@@ -191,7 +193,7 @@
     ) -> Result<oneshot::Receiver<Answer<T>>, Duplicate> {
         let (sender, receiver) = oneshot::channel();
         let stop = T::stop(&forward, request.due);
-        let try_limit = T::tries(&forward).unwrap_or(self.try_limit.get());
+        let try_limit = T::attempt_limit(&forward).unwrap_or(self.try_limit.get());
         let open = OpenRequest {
             answer: Some(sender),
             fallback: None,
@@ -209,7 +211,7 @@
     }
 
     /// When a request with the deadline `due` has to be answered.
-    pub fn last_call(&self, due: Micros) -> Instant {
+    pub fn answer_deadline(&self, due: Micros) -> Instant {
         self.clock.instant(due.saturating_sub(FAIL_BEFORE))
     }
 
@@ -225,7 +227,7 @@
     /// Aborts the attempts at a request without a waiting client, if its kind of traffic wants that.
     fn abort_attempts(&self, id: &RequestId) {
         let running: Vec<_> = match self.open.borrow().get(id) {
-            Some(open) if T::stops_when_gone(&open.forward) => {
+            Some(open) if T::aborts_without_client(&open.forward) => {
                 let tasks = open.attempts.iter().enumerate();
                 tasks.filter_map(|(number, attempt)| Some((number, attempt.task.clone()?))).collect()
             }
@@ -240,8 +242,8 @@
 
     /// A guard for a client that waits for this request's answer; when dropped, the client no longer waits.
     /// No effect once the request is answered.
-    pub fn waited(self: &Rc<Self>, id: RequestId) -> Waited<T> {
-        Waited { node: self.clone(), id }
+    pub fn waiting_client(self: &Rc<Self>, id: RequestId) -> WaitingClient<T> {
+        WaitingClient { node: self.clone(), id }
     }
 
     /// Reports an attempt to the decisions as cancelled, but lets it continue until another one is written.
@@ -262,7 +264,7 @@
 
     /// Handles the end of a superseded attempt, which the decisions know already as cancelled; if there is a
     /// `body`, it has served the request.
-    fn superseded_over(&self, id: &RequestId, body: Option<T::Whole>) {
+    fn superseded_over(&self, id: &RequestId, body: Option<T::Buffered>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let served = body.is_some();
@@ -342,7 +344,7 @@
 
     /// Handles the end of an attempt; a second end of the same attempt is ignored. If there is a `body`, it
     /// has served the request.
-    fn end(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Whole>) {
+    fn end(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Buffered>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let Some(attempt) = open.attempts.get_mut(number) else { return };
@@ -395,8 +397,8 @@
         self.busy.set(false);
     }
 
-    fn upload_goes(&self, id: &RequestId, number: usize, whole: bool) {
-        let stage = if whole { Stage::Sent } else { Stage::Sending };
+    fn upload_progressed(&self, id: &RequestId, number: usize, complete: bool) {
+        let stage = if complete { Stage::Sent } else { Stage::Sending };
         self.event(Event::Streaming { id: id.clone(), attempt: number as u32, stage });
     }
 
@@ -405,12 +407,12 @@
     }
 }
 
-impl<T: Traffic> Ends<T> for Node<T> {
-    fn attempt_over(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Whole>) {
+impl<T: Traffic> AttemptEvents<T> for Node<T> {
+    fn attempt_ended(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Buffered>) {
         self.end(id, number, outcome, body);
     }
 
-    fn attempt_goes(&self, id: &RequestId, number: usize) {
+    fn attempt_about_to_write(&self, id: &RequestId, number: usize) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let earlier = open.attempts.iter_mut().take(number).filter(|attempt| attempt.superseded);
@@ -418,9 +420,9 @@
         earlier.filter_map(|attempt| attempt.task.take()).for_each(|task| task.abort());
     }
 
-    fn answer_begins(&self, id: &RequestId, number: usize, answer: T::Long) -> bool {
+    fn answer_started(&self, id: &RequestId, number: usize, answer: T::Streamed) -> bool {
         let client = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
-        let sent = client.is_some_and(|sender| sender.send(Answer::Long(answer)).is_ok());
+        let sent = client.is_some_and(|sender| sender.send(Answer::Streamed(answer)).is_ok());
         self.event(Event::Streaming { id: id.clone(), attempt: number as u32, stage: Stage::Answering });
         sent
     }
--- a/crates/traffic/src/pool.rs
+++ b/crates/traffic/src/pool.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether a server accepts new requests and is still of this generation.
-    pub fn stands(&self, server: ServerId, generation: u64) -> bool {
+    pub fn is_current(&self, server: ServerId, generation: u64) -> bool {
         self.hosts.borrow().get(&server).is_some_and(|h| h.up && h.generation == generation)
     }
 
--- a/crates/traffic/src/ports.rs
+++ b/crates/traffic/src/ports.rs
@@ -19,23 +19,23 @@
 pub trait Core {
     /// Passes an event to the decisions.
     fn event(&self, event: Event);
-    /// Forwarding of a streamed body to an app server has begun, so it can't be sent again, or (`whole`) is
+    /// Forwarding of a streamed body to an app server has begun, so it can't be sent again, or (`complete`) is
     /// complete.
-    fn upload_goes(&self, id: &RequestId, number: usize, whole: bool);
+    fn upload_progressed(&self, id: &RequestId, number: usize, complete: bool);
     /// Whether the decisions currently send nothing new to an app server, though it is in service.
     fn avoids(&self, server: ServerId) -> bool;
 }
 
 /// Results of attempts of one kind of traffic, reported to the node by its upstream.
-pub trait Ends<T: Traffic>: Core {
+pub trait AttemptEvents<T: Traffic>: Core {
     /// An attempt has ended; if there is an answer, the request has been served. A second end of the same
     /// attempt is ignored.
-    fn attempt_over(&self, id: &RequestId, number: usize, outcome: Outcome, answer: Option<T::Whole>);
+    fn attempt_ended(&self, id: &RequestId, number: usize, outcome: Outcome, answer: Option<T::Buffered>);
     /// An attempt's streamed answer has begun and is forwarded to the client; false if no client waits for
     /// it.
-    fn answer_begins(&self, id: &RequestId, number: usize, answer: T::Long) -> bool;
+    fn answer_started(&self, id: &RequestId, number: usize, answer: T::Streamed) -> bool;
     /// An attempt's request is about to be written: the earlier attempts that it replaces end.
-    fn attempt_goes(&self, _id: &RequestId, _number: usize) {}
+    fn attempt_about_to_write(&self, _id: &RequestId, _number: usize) {}
 }
 
 /// A kind of traffic: the types of its requests and answers, and its rules for attempts.
@@ -43,21 +43,21 @@
     /// The request that is forwarded to a server.
     type Forward: 'static;
     /// A complete answer.
-    type Whole: 'static;
+    type Buffered: 'static;
     /// A streamed answer.
-    type Long: 'static;
+    type Streamed: 'static;
     /// When attempts at a request with the deadline `due` are given up.
     fn stop(forward: &Self::Forward, due: Micros) -> Micros;
     /// Maximum number of attempts for this request; none: the node's default.
-    fn tries(forward: &Self::Forward) -> Option<usize>;
+    fn attempt_limit(forward: &Self::Forward) -> Option<usize>;
     /// Whether attempts at this request are aborted once no client waits for its answer, so that the server
     /// stops working on it.
-    fn stops_when_gone(_forward: &Self::Forward) -> bool {
+    fn aborts_without_client(_forward: &Self::Forward) -> bool {
         false
     }
     /// Whether a cancelled attempt at a silent server continues until another attempt is written. If none is,
     /// its answer still counts.
-    fn outlasts_cancel(_forward: &Self::Forward) -> bool {
+    fn continues_when_cancelled(_forward: &Self::Forward) -> bool {
         false
     }
 }
@@ -82,7 +82,7 @@
 
 /// The app servers: their addresses, and attempts at them.
 pub trait Upstream<T: Traffic> {
-    /// Starts an attempt, to be given up at `stop`; its end is reported once through [`Ends::attempt_over`].
+    /// Starts an attempt, to be given up at `stop`; its end is reported once through [`AttemptEvents::attempt_ended`].
     /// Nothing is sent again once a byte may have been written. Aborting the task closes its connection,
     /// which tells the app server that the attempt was given up.
     fn attempt(
@@ -95,7 +95,7 @@
     ) -> AbortHandle;
     /// Whether another attempt at a request would be made. If not, an attempt is not given up because its
     /// server is silent.
-    fn goes_on(&self, forward: &T::Forward) -> bool;
+    fn would_retry(&self, forward: &T::Forward) -> bool;
     /// Checks whether an app server is alive; reported as [`Event::Probed`].
     fn probe(&self, server: ServerId);
 }
@@ -103,9 +103,9 @@
 /// The final answer to a request.
 pub enum Answer<T: Traffic> {
     /// An app server's answer.
-    Served(T::Whole),
+    Served(T::Buffered),
     /// An app server's streamed answer.
-    Long(T::Long),
+    Streamed(T::Streamed),
     /// Rejected without execution, so a retry is safe: the suggested delay before it in microseconds (0 if
     /// none), and the reason.
     Refused(Micros, Reason),
@@ -116,17 +116,17 @@
 /// A request's body.
 pub enum Payload {
     /// A buffered body, which may be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A streamed body, which can be sent only once.
-    Long(Rc<Upload>),
+    Streamed(Rc<Upload>),
 }
 
 impl Payload {
     /// The streamed body, if it is one.
-    pub fn long(&self) -> Option<&Rc<Upload>> {
+    pub fn streamed(&self) -> Option<&Rc<Upload>> {
         match self {
-            Payload::Whole(_) => None,
-            Payload::Long(upload) => Some(upload),
+            Payload::Buffered(_) => None,
+            Payload::Streamed(upload) => Some(upload),
         }
     }
 
@@ -134,20 +134,20 @@
     /// counts from its last byte and is enforced by the attempt itself.
     pub fn stop(&self, due: Micros) -> Micros {
         match self {
-            Payload::Whole(_) => due.saturating_sub(STOP_BEFORE),
-            Payload::Long(_) => Micros::MAX,
+            Payload::Buffered(_) => due.saturating_sub(STOP_BEFORE),
+            Payload::Streamed(_) => Micros::MAX,
         }
     }
 
     /// How long a new attempt waits for a connection; a streamed body may outlast `stop`, so its own wait
     /// limits it.
     pub fn connect_by(&self, stop: Instant) -> Instant {
-        self.long().map_or(stop, |upload| Instant::now() + upload.wait)
+        self.streamed().map_or(stop, |upload| Instant::now() + upload.wait)
     }
 
     /// Returns when `before` is left of the request's time, which ends at `until` for a buffered body.
-    pub async fn time_up(&self, until: Instant, before: Duration) {
-        match self.long() {
+    pub async fn wait_until_due(&self, until: Instant, before: Duration) {
+        match self.streamed() {
             None => sleep_until(until).await,
             Some(upload) => sleep_until(upload.ended().await + upload.wait - before).await,
         }
@@ -155,17 +155,22 @@
 
     /// The body for an attempt; none if an earlier attempt has taken some of it. Reports the progress of a
     /// streamed body to `core`.
-    pub fn body<T: Traffic>(&self, core: &Weak<dyn Ends<T>>, id: &RequestId, number: usize) -> Option<Sent> {
+    pub fn body<T: Traffic>(
+        &self,
+        core: &Weak<dyn AttemptEvents<T>>,
+        id: &RequestId,
+        number: usize,
+    ) -> Option<Sent> {
         let upload = match self {
-            Payload::Whole(body) => return Some(body.clone().into()),
-            Payload::Long(upload) => upload,
+            Payload::Buffered(body) => return Some(body.clone().into()),
+            Payload::Streamed(upload) => upload,
         };
         let (core, id) = (core.clone(), id.clone());
-        let report_progress = move |whole| {
+        let report_progress = move |complete| {
             if let Some(core) = core.upgrade() {
-                core.upload_goes(&id, number, whole);
+                core.upload_progressed(&id, number, complete);
             }
         };
-        upload.body(report_progress).map(Sent::Long)
+        upload.body(report_progress).map(Sent::Streamed)
     }
 }
--- a/crates/traffic/src/raw_head.rs
+++ b/crates/traffic/src/raw_head.rs
@@ -11,7 +11,7 @@
 /// The raw request heads of a connection. The parser drops a Content-Length next to chunked coding, so only
 /// the raw bytes show whether there was one.
 #[derive(Default)]
-pub struct Wire {
+pub struct RawHead {
     /// Bytes received since the last request ended, as long as they may belong to a head.
     head: RefCell<Vec<u8>>,
     /// Bytes of the current body that have not been received yet; `u64::MAX` for a chunked one.
@@ -24,7 +24,7 @@
     has_changed_target: Cell<bool>,
 }
 
-impl Wire {
+impl RawHead {
     /// Records received bytes.
     pub(crate) fn read(&self, mut bytes: &[u8]) {
         let skipped = self.body_left.get().min(bytes.len() as u64);
@@ -64,7 +64,7 @@
 
     /// Whether a line of the head ends without CR or is continued on the next line: other parsers may read
     /// such lines differently.
-    pub fn odd_lines(&self) -> bool {
+    pub fn has_ambiguous_lines(&self) -> bool {
         self.has_odd_lines.get()
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Whether the head of a chunked request also had a Content-Length.
-    pub fn names_length(&self) -> bool {
+    pub fn has_content_length(&self) -> bool {
         self.has_length.get()
     }
 }
--- a/crates/traffic/src/request_timing.rs
+++ b/crates/traffic/src/request_timing.rs
@@ -13,7 +13,7 @@
 
 /// When a request was written and when its answer began.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Passage {
+pub struct RequestTiming {
     /// Bytes of the request written to the socket.
     pub bytes: u64,
     /// When the first byte of the request was written.
@@ -24,13 +24,13 @@
     pub answered: Option<Instant>,
 }
 
-impl Passage {
+impl RequestTiming {
     /// Whether the peer can be assumed to have received the whole request before its answer began.
     ///
     /// The socket's send buffer hides what has left this machine, and an answer is no proof: a server may
     /// answer before it has read the body. So either the request fits one segment, or enough time has passed
     /// for the slowest link to carry all of it.
-    pub fn taken(&self) -> bool {
+    pub fn is_received(&self) -> bool {
         let (Some(begun), Some(flushed), Some(answered)) = (self.begun, self.flushed, self.answered) else {
             return false;
         };
--- a/crates/traffic/src/streamed_body.rs
+++ b/crates/traffic/src/streamed_body.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 use crate::body::{bad_body, BadBody};
-use crate::body_memory::{Hold, Room};
+use crate::body_memory::{BodyMemoryPool, Reservation};
 
 /// Default maximum length of a body: 32 MB plus a margin for senders that count it loosely.
 pub const DEFAULT_MAX_BODY_BYTES: u64 = 34_000_000;
@@ -25,31 +25,31 @@
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A body, or as much of it as could be buffered.
-pub enum Taken {
+pub enum Buffered {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// What was received of a longer body, and the rest.
-    Part(Bytes, Incoming),
+    Partial(Bytes, Incoming),
 }
 
 /// Buffers a body of at most `max_bytes` bytes; of a longer one, as much as that, as the memory limit allows, or
 /// as arrives by `until`. A body that declares a larger size is not read at all.
-pub async fn take(
+pub async fn buffer_body(
     mut body: Incoming,
     max_bytes: usize,
     until: Option<Instant>,
-    room: &Room,
-) -> Result<Taken, BadBody> {
+    memory: &BodyMemoryPool,
+) -> Result<Buffered, BadBody> {
     let min_length = body.size_hint().lower();
-    if min_length > room.max_body_bytes() {
+    if min_length > memory.max_body_bytes() {
         return Err(BadBody::TooLong);
     }
     if min_length > max_bytes as u64 {
-        return Ok(Taken::Part(Bytes::new(), body));
+        return Ok(Buffered::Partial(Bytes::new(), body));
     }
     let mut buffered = BytesMut::new();
     let mut first = Bytes::new();
-    let mut reservation = room.reservation();
+    let mut reservation = memory.reservation();
     let complete = loop {
         let frame = match until {
             Some(until) => match tokio::time::timeout_at(until, body.frame()).await {
@@ -81,7 +81,7 @@
         }
     };
     let buffered = reservation.attach_to(if buffered.is_empty() { first } else { buffered.freeze() });
-    Ok(if complete { Taken::Whole(buffered) } else { Taken::Part(buffered, body) })
+    Ok(if complete { Buffered::Complete(buffered) } else { Buffered::Partial(buffered, body) })
 }
 
 /// Reads and drops the rest of an unwanted body, up to `max_bytes` bytes and for at most `time_limit`. Danger: a
@@ -128,7 +128,7 @@
     ended: Cell<Option<Instant>>,
     notify_end: Notify,
     /// Reserved memory for its buffers; none for a body that is only drained.
-    _reservation: Option<Hold>,
+    _reservation: Option<Reservation>,
     max_body_bytes: u64,
 }
 
@@ -138,7 +138,7 @@
     pub fn new(
         first: Bytes,
         rest: Incoming,
-        reservation: Option<Hold>,
+        reservation: Option<Reservation>,
         wait: Duration,
         begun: Instant,
         grace: Duration,
@@ -155,7 +155,7 @@
             stage: Cell::new(UploadStage::Waiting),
             ended: Cell::default(),
             notify_end: Notify::new(),
-            max_body_bytes: reservation.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, Hold::max_body_bytes),
+            max_body_bytes: reservation.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, Reservation::max_body_bytes),
             _reservation: reservation,
         })
     }
@@ -192,12 +192,12 @@
     }
 
     /// Whether the client aborted it.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.stage.get() == UploadStage::Broken
     }
 
     /// Whether all of it has been forwarded.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.stage.get() == UploadStage::Complete
     }
 
@@ -306,7 +306,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.upload.whole()
+        self.upload.is_complete()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -331,7 +331,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// The client has been given all of it.
-    Whole,
+    Complete,
     /// The app server aborted it.
     Broken,
 }
@@ -346,13 +346,13 @@
     end: Option<oneshot::Sender<End>>,
     timer: Pin<Box<Sleep>>,
     counted: Option<Box<dyn FnOnce(End)>>,
-    reservation: Hold,
+    reservation: Reservation,
 }
 
 impl Download {
     /// An answer whose first part has been received. The receiver yields how it ended; an error means that
     /// the client has disconnected.
-    pub fn new(first: Bytes, rest: Incoming, reservation: Hold) -> (Self, oneshot::Receiver<End>) {
+    pub fn new(first: Bytes, rest: Incoming, reservation: Reservation) -> (Self, oneshot::Receiver<End>) {
         let (end, ended) = oneshot::channel();
         let download = Download {
             length: rest.size_hint().exact().map(|left| left + first.len() as u64),
@@ -405,7 +405,7 @@
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
                 Poll::Ready(None) => {
-                    this.finish(End::Whole);
+                    this.finish(End::Complete);
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(error))) => {
@@ -421,7 +421,7 @@
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
             if this.length == Some(this.forwarded) {
-                this.finish(End::Whole);
+                this.finish(End::Complete);
             }
             if data.has_remaining() {
                 return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -441,14 +441,14 @@
 /// A buffered or streamed body: of a request to an app server or of an answer to a client.
 pub enum Outgoing<L> {
     /// A buffered body.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// A streamed body.
-    Long(L),
+    Streamed(L),
 }
 
 impl<L> From<Bytes> for Outgoing<L> {
     fn from(body: Bytes) -> Self {
-        Outgoing::Whole(Full::new(body))
+        Outgoing::Buffered(Full::new(body))
     }
 }
 
@@ -461,22 +461,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut *self {
-            Outgoing::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Outgoing::Long(body) => Pin::new(body).poll_frame(cx),
+            Outgoing::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Outgoing::Streamed(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Whole(body) => body.is_end_stream(),
-            Outgoing::Long(body) => body.is_end_stream(),
+            Outgoing::Buffered(body) => body.is_end_stream(),
+            Outgoing::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Whole(body) => body.size_hint(),
-            Outgoing::Long(body) => body.size_hint(),
+            Outgoing::Buffered(body) => body.size_hint(),
+            Outgoing::Streamed(body) => body.size_hint(),
         }
     }
 }
--- a/crates/traffic/src/watchdog.rs
+++ b/crates/traffic/src/watchdog.rs
@@ -39,22 +39,22 @@
 }
 
 /// Detects stalls of one process.
-pub struct Vigil {
+pub struct Watchdog {
     last_tick: Cell<Instant>,
     behind: Cell<bool>,
     /// Other processes of this node may have received input that this one has not.
     others: Cell<bool>,
-    looked: Notify,
+    records_read: Notify,
 }
 
-impl Vigil {
-    /// Starts now. The caller has to call [`Vigil::tick`] once per [`TICK`].
-    pub fn new() -> Rc<Vigil> {
-        Rc::new(Vigil {
+impl Watchdog {
+    /// Starts now. The caller has to call [`Watchdog::tick`] once per [`TICK`].
+    pub fn new() -> Rc<Watchdog> {
+        Rc::new(Watchdog {
             last_tick: Cell::new(Instant::now()),
             behind: Cell::new(false),
             others: Cell::new(false),
-            looked: Notify::new(),
+            records_read: Notify::new(),
         })
     }
 
@@ -79,21 +79,21 @@
             return;
         }
         // Registered before the polls, so that records read during them count.
-        let looked = self.looked.notified();
+        let records_read = self.records_read.notified();
         for _ in 0..CATCH_UP_POLLS {
             // Resumes after the next poll of the sockets, behind every task that the poll woke.
             tokio::task::yield_now().await;
         }
         if self.others.get() {
             // A stalled disk must not delay requests for longer.
-            let _ = timeout(RECORDS_TIMEOUT, looked).await;
+            let _ = timeout(RECORDS_TIMEOUT, records_read).await;
         }
     }
 
     /// The records of the other processes have been read; `others` tells whether there are such processes.
-    pub fn looked(&self, others: bool) {
+    pub fn records_read(&self, others: bool) {
         self.others.set(others);
-        self.looked.notify_waiters();
+        self.records_read.notify_waiters();
     }
 }
 
@@ -113,31 +113,31 @@
 
     #[tokio::test(start_paused = true)]
     async fn after_a_stall_the_other_processes_records_are_awaited() {
-        let vigil = Vigil::new();
-        vigil.tick().await;
-        assert!(!vigil.behind());
-        vigil.looked(true);
+        let watchdog = Watchdog::new();
+        watchdog.tick().await;
+        assert!(!watchdog.behind());
+        watchdog.records_read(true);
         tokio::time::advance(Duration::from_millis(401)).await;
-        assert!(vigil.behind());
-        let mut tick = pin!(vigil.tick());
+        assert!(watchdog.behind());
+        let mut tick = pin!(watchdog.tick());
         let mut cx = Context::from_waker(Waker::noop());
         for _ in 0..20 {
             assert!(tick.as_mut().poll(&mut cx).is_pending());
             tokio::task::yield_now().await;
         }
-        vigil.looked(true);
+        watchdog.records_read(true);
         tick.await;
-        assert!(!vigil.behind());
+        assert!(!watchdog.behind());
     }
 
     #[tokio::test(start_paused = true)]
     async fn unreadable_records_delay_it_by_the_timeout_only() {
-        let vigil = Vigil::new();
-        vigil.looked(true);
+        let watchdog = Watchdog::new();
+        watchdog.records_read(true);
         tokio::time::advance(Duration::from_millis(500)).await;
         let begun = Instant::now();
-        vigil.tick().await;
+        watchdog.tick().await;
         assert_eq!(begun.elapsed().as_millis(), RECORDS_TIMEOUT.as_millis());
-        assert!(!vigil.behind());
+        assert!(!watchdog.behind());
     }
 }
--- a/crates/traffic/tests/supersede.rs
+++ b/crates/traffic/tests/supersede.rs
@@ -10,7 +10,7 @@
 use mountbend::interface::*;
 use pinerelay_traffic::clock::Clock;
 use pinerelay_traffic::node::{Node, Peers};
-use pinerelay_traffic::ports::{Answer, Core, Ends, MemberSource, QuotaStore, Traffic, Upstream};
+use pinerelay_traffic::ports::{Answer, AttemptEvents, Core, MemberSource, QuotaStore, Traffic, Upstream};
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
@@ -21,18 +21,18 @@
 
 impl Traffic for TestTraffic {
     type Forward = Plan;
-    type Whole = &'static str;
-    type Long = ();
+    type Buffered = &'static str;
+    type Streamed = ();
 
     fn stop(_: &Plan, due: Micros) -> Micros {
         due
     }
 
-    fn tries(_: &Plan) -> Option<usize> {
+    fn attempt_limit(_: &Plan) -> Option<usize> {
         None
     }
 
-    fn outlasts_cancel(_: &Plan) -> bool {
+    fn continues_when_cancelled(_: &Plan) -> bool {
         true
     }
 }
@@ -58,7 +58,7 @@
 }
 
 struct Servers {
-    core: Weak<dyn Ends<TestTraffic>>,
+    core: Weak<dyn AttemptEvents<TestTraffic>>,
     attempts: RefCell<Vec<usize>>,
     silent_ended: Rc<Cell<usize>>,
 }
@@ -74,19 +74,19 @@
             sleep(Duration::from_millis(5)).await;
             let Some(core) = core.upgrade() else { return };
             if *plan == Plan::SilentThenNone && number > 0 {
-                return core.attempt_over(&id, number, Outcome::ConnectFailed, None);
+                return core.attempt_ended(&id, number, Outcome::ConnectFailed, None);
             }
-            core.attempt_goes(&id, number);
+            core.attempt_about_to_write(&id, number);
             let answer = if silent.is_some() { "slow" } else { "quick" };
             if silent.is_some() {
                 sleep(SILENCE).await;
             }
-            core.attempt_over(&id, number, Outcome::Ok, Some(answer));
+            core.attempt_ended(&id, number, Outcome::Ok, Some(answer));
         });
         task.abort_handle()
     }
 
-    fn goes_on(&self, _: &Plan) -> bool {
+    fn would_retry(&self, _: &Plan) -> bool {
         true
     }
 
@@ -193,6 +193,6 @@
         expect_that!(matches!(answer, Some(Answer::Served("quick"))), eq(true));
         expect_that!(fixture.servers.silent_ended.get(), eq(1));
         expect_that!(*fixture.servers.attempts.borrow(), elements_are![eq(&0), eq(&1)]);
-        expect_that!(fixture.node.waited_for(), eq(false));
+        expect_that!(fixture.node.has_waiting_clients(), eq(false));
     });
 }
