--- a/crates/traffic/src/acceptor.rs
+++ b/crates/traffic/src/acceptor.rs
@@ -91,7 +91,7 @@
                 for state in acceptor.open.borrow().values() {
                     if state.overdue(head) {
                         state.cut.notify_one();
-                    } else if idle_for.is_some_and(|most| state.idle_for(most)) {
+                    } else if idle_for.is_some_and(|limit| state.idle_for(limit)) {
                         state.close.notify_one();
                     }
                 }
@@ -190,7 +190,7 @@
                 async move {
                     state.request_received(&request);
                     let mut response = handler.answer(request, &state.wire).await;
-                    if state.answered() {
+                    if state.answer_handed_over() {
                         mark_last_answer(&mut response);
                     }
                     Ok::<_, Infallible>(response)
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -28,8 +28,8 @@
     for_clients: Cell<usize>,
     used: Cell<usize>,
     clients: Cell<usize>,
-    eased: Notify,
-    tickets: Cell<u64>,
+    availability_changed: Notify,
+    next_ticket: Cell<u64>,
     /// Client connections so new that their first request may still be unread.
     new_clients: Cell<usize>,
     /// Client connections without an open request; those that never sent a request come first.
@@ -59,8 +59,8 @@
             for_clients: Cell::new(0),
             used: Cell::new(0),
             clients: Cell::new(0),
-            eased: Notify::new(),
-            tickets: Cell::new(0),
+            availability_changed: Notify::new(),
+            next_ticket: Cell::new(0),
             new_clients: Cell::new(0),
             idle: RefCell::default(),
         };
@@ -77,7 +77,7 @@
         let max_slots = slots(descriptors);
         self.max_slots.set(max_slots);
         self.for_clients.set(for_clients(slots(self.node_descriptors), max_slots, self.client_share));
-        self.ease();
+        self.wake_waiters();
     }
 
     /// Descriptor limit of this process.
@@ -95,7 +95,7 @@
 
     /// A slot for a client connection, if one is free.
     pub fn for_client(self: &Rc<Self>) -> Option<Slot> {
-        self.client_fits().then(|| self.take(true)).flatten()
+        self.client_fits().then(|| self.take_slot(true)).flatten()
     }
 
     fn client_fits(&self) -> bool {
@@ -105,20 +105,20 @@
     /// Returns once a slot for a client connection is free.
     pub async fn client_finds_slot(&self) {
         loop {
-            let eased = self.eased.notified();
+            let availability_changed = self.availability_changed.notified();
             if self.client_fits() {
                 return;
             }
-            eased.await;
+            availability_changed.await;
         }
     }
 
     /// A slot for an upstream connection, if one is free.
     pub fn for_server(self: &Rc<Self>) -> Option<Slot> {
-        self.take(false)
+        self.take_slot(false)
     }
 
-    fn take(self: &Rc<Self>, client: bool) -> Option<Slot> {
+    fn take_slot(self: &Rc<Self>, client: bool) -> Option<Slot> {
         if self.used.get() >= self.max_slots.get() {
             return None;
         }
@@ -137,20 +137,20 @@
     /// was asked to close takes a moment, during which no other must be closed for the same slot.
     pub async fn acquire(&self, take: impl Fn() -> Option<Slot>, close_one: impl Fn() -> bool) -> Slot {
         loop {
-            let eased = self.eased.notified();
+            let availability_changed = self.availability_changed.notified();
             if let Some(slot) = take() {
                 return slot;
             }
             if !close_one() {
-                eased.await;
+                availability_changed.await;
                 continue;
             }
             let freed = async {
                 loop {
-                    let eased = self.eased.notified();
+                    let availability_changed = self.availability_changed.notified();
                     match take() {
                         Some(slot) => return slot,
-                        None => eased.await,
+                        None => availability_changed.await,
                     }
                 }
             };
@@ -161,22 +161,22 @@
     }
 
     /// Wakes the tasks that wait for a slot, for example once an upstream connection has become idle.
-    pub fn ease(&self) {
-        self.eased.notify_waiters();
+    pub fn wake_waiters(&self) {
+        self.availability_changed.notify_waiters();
     }
 
-    /// Registers a client connection as idle, so that it may be asked to close. [`Budget::busy`] with the
+    /// Registers a client connection as idle, so that it may be asked to close. [`Budget::unregister_idle`] with the
     /// ticket undoes this.
-    pub fn idle(&self, close: Rc<Notify>, used: bool) -> Ticket {
-        let ticket = (used, self.tickets.get());
-        self.tickets.set(ticket.1 + 1);
+    pub fn register_idle(&self, close: Rc<Notify>, used: bool) -> Ticket {
+        let ticket = (used, self.next_ticket.get());
+        self.next_ticket.set(ticket.1 + 1);
         self.idle.borrow_mut().insert(ticket, close);
-        self.ease();
+        self.wake_waiters();
         ticket
     }
 
     /// The connection with this ticket is in use again or closed.
-    pub fn busy(&self, ticket: Ticket) {
+    pub fn unregister_idle(&self, ticket: Ticket) {
         self.idle.borrow_mut().remove(&ticket);
     }
 
@@ -188,7 +188,7 @@
     /// A new connection has sent its first request, or the wait for it is over.
     pub fn uncount_new(&self) {
         self.new_clients.set(self.new_clients.get() - 1);
-        self.ease();
+        self.wake_waiters();
     }
 
     /// Asks a client connection to close: the oldest that has never sent a request, otherwise the one that
@@ -217,7 +217,7 @@
         let shared = &self.budget;
         shared.used.set(shared.used.get() - 1);
         shared.clients.set(shared.clients.get() - usize::from(self.client));
-        shared.ease();
+        shared.wake_waiters();
     }
 }
 
@@ -242,13 +242,13 @@
     #[test]
     fn an_idle_connection_is_closed_unless_half_of_all_are_new() {
         let budget = Budget::new(RESERVED_DESCRIPTORS + 20, 0, 0.6);
-        budget.idle(Rc::default(), true);
+        budget.register_idle(Rc::default(), true);
         (0..5).for_each(|_| budget.count_new());
         assert!(budget.close_an_idle_client(), "a few new connections must not protect an idle one");
-        budget.idle(Rc::default(), true);
+        budget.register_idle(Rc::default(), true);
         budget.count_new();
         assert!(!budget.close_an_idle_client(), "a flood of new connections must not evict a used one");
-        budget.idle(Rc::default(), false);
+        budget.register_idle(Rc::default(), false);
         assert!(budget.close_an_idle_client(), "a connection that never sent a request is closed first");
         budget.uncount_new();
         assert!(budget.close_an_idle_client());
--- a/crates/traffic/src/connection.rs
+++ b/crates/traffic/src/connection.rs
@@ -46,8 +46,8 @@
     pub(crate) wire: RawHead,
 }
 
-fn has_lasted(since: &Cell<Option<Instant>>, most: Duration) -> bool {
-    since.get().is_some_and(|at| at.elapsed() > most)
+fn has_lasted(since: &Cell<Option<Instant>>, limit: Duration) -> bool {
+    since.get().is_some_and(|at| at.elapsed() > limit)
 }
 
 /// Whether the socket has unread data. Danger: the runtime's readiness is as old as its last poll, and the
@@ -83,13 +83,13 @@
         self.apply(Event::Taken);
         self.head_since.set(None);
         self.mark_busy();
-        self.wire.begins(request);
+        self.wire.head_parsed(request);
     }
 
     /// The answer is handed over for writing; returns whether it is to be the last on this connection.
-    pub(crate) fn answered(&self) -> bool {
+    pub(crate) fn answer_handed_over(&self) -> bool {
         let is_last = self.lifecycle.get().told();
-        let ahead = self.wire.ahead();
+        let ahead = self.wire.has_next_request_data();
         self.apply(Event::Answered { ahead });
         self.head_since.set(ahead.then(Instant::now));
         self.mark_idle();
@@ -126,7 +126,7 @@
     fn mark_idle(&self) {
         self.mark_busy();
         self.idle_since.set(Some(Instant::now()));
-        self.ticket.set(Some(self.budget.idle(self.close.clone(), self.used.get())));
+        self.ticket.set(Some(self.budget.register_idle(self.close.clone(), self.used.get())));
     }
 
     /// Whether a request head has taken longer than `head_wait`, or writes to the client are blocked for too
@@ -136,9 +136,9 @@
             || self.is_write_blocked()
     }
 
-    /// Whether it has been idle between two requests for more than `most`.
-    pub(crate) fn idle_for(&self, most: Duration) -> bool {
-        has_lasted(&self.idle_since, most)
+    /// Whether it has been idle between two requests for more than `limit`.
+    pub(crate) fn idle_for(&self, limit: Duration) -> bool {
+        has_lasted(&self.idle_since, limit)
     }
 
     fn is_write_blocked(&self) -> bool {
@@ -174,7 +174,7 @@
     fn mark_busy(&self) {
         self.idle_since.set(None);
         if let Some(ticket) = self.ticket.take() {
-            self.budget.busy(ticket);
+            self.budget.unregister_idle(ticket);
         }
     }
 }
@@ -197,7 +197,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf);
-        self.state.wire.read(&buf.filled()[before..]);
+        self.state.wire.record(&buf.filled()[before..]);
         if buf.filled().len() > before && self.state.lifecycle.get().stage() != Stage::InWork {
             self.state.apply(Event::Came);
             if self.state.head_since.get().is_none() {
--- a/crates/traffic/src/http.rs
+++ b/crates/traffic/src/http.rs
@@ -217,8 +217,8 @@
 }
 
 impl Connection {
-    /// Connects. `held` is dropped together with the socket.
-    pub async fn open<H: 'static>(address: SocketAddr, held: H, on_written: OnWritten) -> io::Result<Self> {
+    /// Connects. `guard` is dropped together with the socket.
+    pub async fn open<H: 'static>(address: SocketAddr, guard: H, on_written: OnWritten) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let answer_timing = Rc::<AnswerTiming>::default();
@@ -234,7 +234,7 @@
             .await
             .map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
-            let _held = held;
+            let _guard = guard;
             // An error here is also reported to the current request.
             let _ = connection.await;
         });
--- a/crates/traffic/src/node.rs
+++ b/crates/traffic/src/node.rs
@@ -164,7 +164,7 @@
                     Some(forward) if T::continues_when_cancelled(&forward) => {
                         self.supersede(&id, attempt as usize)
                     }
-                    _ => self.end(&id, attempt as usize, Outcome::Cancelled, None),
+                    _ => self.end_attempt(&id, attempt as usize, Outcome::Cancelled, None),
                 }
             }
             Action::Probe { server } => self.peers.upstream.probe(server),
@@ -236,7 +236,7 @@
         for (number, task) in running {
             // Closes the connection, which notifies the server.
             task.abort();
-            self.end(id, number, Outcome::NotSent, None);
+            self.end_attempt(id, number, Outcome::NotSent, None);
         }
     }
 
@@ -264,7 +264,7 @@
 
     /// Handles the end of a superseded attempt, which the decisions know already as cancelled; if there is a
     /// `body`, it has served the request.
-    fn superseded_over(&self, id: &RequestId, body: Option<T::Buffered>) {
+    fn end_superseded(&self, id: &RequestId, body: Option<T::Buffered>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let served = body.is_some();
@@ -344,7 +344,7 @@
 
     /// Handles the end of an attempt; a second end of the same attempt is ignored. If there is a `body`, it
     /// has served the request.
-    fn end(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Buffered>) {
+    fn end_attempt(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Buffered>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let Some(attempt) = open.attempts.get_mut(number) else { return };
@@ -355,7 +355,7 @@
         }
         if attempt.superseded {
             drop(requests);
-            return self.superseded_over(id, body);
+            return self.end_superseded(id, body);
         }
         let (server, spent) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
         if let Some(body) = body {
@@ -409,7 +409,7 @@
 
 impl<T: Traffic> AttemptEvents<T> for Node<T> {
     fn attempt_ended(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<T::Buffered>) {
-        self.end(id, number, outcome, body);
+        self.end_attempt(id, number, outcome, body);
     }
 
     fn attempt_about_to_write(&self, id: &RequestId, number: usize) {
--- a/crates/traffic/src/pool.rs
+++ b/crates/traffic/src/pool.rs
@@ -153,7 +153,7 @@
         let mut hosts = self.hosts.borrow_mut();
         if let Some(host) = hosts.get_mut(&server).filter(|h| h.up && h.generation == generation) {
             host.idle.push(IdleConnection { connection, idle });
-            self.budget.ease();
+            self.budget.wake_waiters();
         }
     }
 
--- a/crates/traffic/src/raw_head.rs
+++ b/crates/traffic/src/raw_head.rs
@@ -26,7 +26,7 @@
 
 impl RawHead {
     /// Records received bytes.
-    pub(crate) fn read(&self, mut bytes: &[u8]) {
+    pub(crate) fn record(&self, mut bytes: &[u8]) {
         let skipped = self.body_left.get().min(bytes.len() as u64);
         self.body_left.set(self.body_left.get() - skipped);
         bytes = &bytes[skipped as usize..];
@@ -37,7 +37,7 @@
     }
 
     /// A request head has been parsed: the remaining bytes belong to its body or to the next request.
-    pub(crate) fn begins(&self, request: &Request<Incoming>) {
+    pub(crate) fn head_parsed(&self, request: &Request<Incoming>) {
         let mut bytes = self.head.borrow_mut();
         let blank = |at: usize| bytes[at..].starts_with(b"\r\n\r\n") || bytes[at..].starts_with(b"\n\n");
         let start = bytes.iter().position(|b| !matches!(b, b'\r' | b'\n')).unwrap_or(bytes.len());
@@ -74,7 +74,7 @@
     }
 
     /// Whether part of a next request has been read.
-    pub(crate) fn ahead(&self) -> bool {
+    pub(crate) fn has_next_request_data(&self) -> bool {
         self.body_left.get() == 0 && !self.head.borrow().is_empty()
     }
 
