--- a/crates/node/src/net/counts/counter.rs
+++ b/crates/node/src/net/counts/counter.rs
@@ -8,7 +8,7 @@
 
 use bytes::BytesMut;
 use mountbend::interface::{CountName, Event, Micros, Outcome};
-use pinerelay_protocol::counter::{decode, encode, Add, Garbage, Reply};
+use pinerelay_protocol::counter::{decode, encode, Add, InvalidReply, Reply};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -228,7 +228,7 @@
                             }
                         }
                         Ok(None) => break,
-                        Err(Garbage) => {
+                        Err(InvalidReply) => {
                             spoilt = true;
                             break 'open;
                         }
--- a/crates/node/src/net/servers.rs
+++ b/crates/node/src/net/servers.rs
@@ -245,20 +245,20 @@
         let told = body.size_hint().exact().is_some();
         let until = (!told && head.status == StatusCode::OK).then(|| Instant::now() + LENGTH_WAIT);
         let (body, end) = match buffer_body(body, BODY_MOST, until, &self.room).await {
-            Ok(Buffered::Complete(body)) => (Some(body), BodyEnd::Whole),
+            Ok(Buffered::Complete(body)) => (Some(body), BodyEnd::Complete),
             Ok(Buffered::Partial(first, rest)) if head.status == StatusCode::OK => {
                 return Ok(Exchanged::Long(first, rest));
             }
             // Of any other answer the head tells all, and the rest stays unread.
-            Ok(Buffered::Partial(..)) => (None, BodyEnd::Spoilt),
+            Ok(Buffered::Partial(..)) => (None, BodyEnd::Unusable),
             Err(BadBody::Broken) => (None, BodyEnd::Broken),
-            Err(_) => (None, BodyEnd::Spoilt),
+            Err(_) => (None, BodyEnd::Unusable),
         };
         let outcome = outcome(head.status, &head.headers, end);
-        if outcome == Outcome::Error && end == BodyEnd::Spoilt {
+        if outcome == Outcome::Error && end == BodyEnd::Unusable {
             return Err(SendError::BadAnswer);
         }
-        Ok(Exchanged::Whole(outcome, body.filter(|_| outcome == Outcome::Ok), end == BodyEnd::Whole))
+        Ok(Exchanged::Whole(outcome, body.filter(|_| outcome == Outcome::Ok), end == BodyEnd::Complete))
     }
 
     /// A kept connection or a new one.
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -91,7 +91,7 @@
     let (connect_timeout, conn_idle) = (env.bounds.connect_timeout, env.bounds.conn_idle);
     let patience = Rc::new(Cell::new(longest(&env)));
     let mut classes = ClassTable::default();
-    let rules = Rules::new(&env, &classes.take(&env.classes));
+    let rules = Rules::new(&env, &classes.assign_numbers(&env.classes));
     let figures = Rc::new(Figures::default());
     env.classes.iter().for_each(|class| figures.name(&class.name));
     let settings = Settings::from(env);
--- a/crates/node/src/run/retune.rs
+++ b/crates/node/src/run/retune.rs
@@ -43,7 +43,7 @@
 impl Retuned {
     /// Takes classes and attempts; all else in the settings waits for the next start.
     fn take(&mut self, env: &Env) {
-        let numbers = self.classes.take(&env.classes);
+        let numbers = self.classes.assign_numbers(&env.classes);
         self.names.replace(self.classes.names());
         env.classes.iter().for_each(|class| self.figures.name(&class.name));
         self.node.retune(self.classes.all(), env.bounds.try_limit);
--- a/crates/protocol/src/classes.rs
+++ b/crates/protocol/src/classes.rs
@@ -15,7 +15,7 @@
     /// Adds the classes of new settings and returns the number of each. A class that exists with the same
     /// rules keeps its number; one with changed rules gets a new number, since the effect of an open request
     /// must not change.
-    pub fn take(&mut self, classes: &[EnvClass]) -> Vec<usize> {
+    pub fn assign_numbers(&mut self, classes: &[EnvClass]) -> Vec<usize> {
         let mut number = |class: &EnvClass| {
             self.entries.iter().position(|known| known == class).unwrap_or_else(|| {
                 self.entries.push(class.clone());
@@ -49,14 +49,18 @@
     #[test]
     fn numbers_are_permanent_and_changed_rules_get_a_new_one() {
         let mut table = ClassTable::default();
-        assert_eq!(table.take(&[class("a", "safe", 9), class("b", "unsafe", 9)]), [0, 1]);
+        assert_eq!(table.assign_numbers(&[class("a", "safe", 9), class("b", "unsafe", 9)]), [0, 1]);
         assert_eq!(
-            table.take(&[class("b", "unsafe", 9), class("c", "keyed", 9)]),
+            table.assign_numbers(&[class("b", "unsafe", 9), class("c", "keyed", 9)]),
             [1, 2],
             "a dropped, c new"
         );
-        assert_eq!(table.take(&[class("b", "safe", 9), class("a", "safe", 8)]), [3, 4]);
-        assert_eq!(table.take(&[class("a", "safe", 9), class("b", "unsafe", 9)]), [0, 1], "and back again");
+        assert_eq!(table.assign_numbers(&[class("b", "safe", 9), class("a", "safe", 8)]), [3, 4]);
+        assert_eq!(
+            table.assign_numbers(&[class("a", "safe", 9), class("b", "unsafe", 9)]),
+            [0, 1],
+            "and back again"
+        );
         let effects: Vec<_> = table.all().iter().map(|c| c.effect).collect();
         assert_eq!(effects, [Effect::Safe, Effect::Unsafe, Effect::Keyed, Effect::Safe, Effect::Safe]);
     }
--- a/crates/protocol/src/counter.rs
+++ b/crates/protocol/src/counter.rs
@@ -54,10 +54,10 @@
 
 /// The received bytes can't be a reply of the counter; the connection must not be used again.
 #[derive(Debug, PartialEq)]
-pub struct Garbage;
+pub struct InvalidReply;
 
 /// Decodes and removes one complete reply, if the buffer holds one.
-pub fn decode(buffer: &mut BytesMut) -> Result<Option<Reply>, Garbage> {
+pub fn decode(buffer: &mut BytesMut) -> Result<Option<Reply>, InvalidReply> {
     let plausible = |head: &[u8]| match head {
         [] => true,
         [b'-', why @ ..] => {
@@ -73,32 +73,33 @@
     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
         // Danger: invalid input may never contain a line end, so it is rejected as soon as it can't start a
         // reply.
-        return if plausible(buffer) { Ok(None) } else { Err(Garbage) };
+        return if plausible(buffer) { Ok(None) } else { Err(InvalidReply) };
     };
     if !plausible(&buffer[..end]) {
-        return Err(Garbage);
+        return Err(InvalidReply);
     }
-    let text = std::str::from_utf8(&buffer[..end]).map_err(|_| Garbage)?;
+    let text = std::str::from_utf8(&buffer[..end]).map_err(|_| InvalidReply)?;
     match text.split_at_checked(1) {
         Some(("-", why)) if why.starts_with("BUSY") || why.starts_with("ERR") => {
             buffer.advance(end + 2);
             Ok(Some(Reply::Busy))
         }
         Some(("$", length)) => {
-            let length = length.parse::<usize>().ok().filter(|&n| n <= MAX_TOTAL_LENGTH).ok_or(Garbage)?;
+            let length =
+                length.parse::<usize>().ok().filter(|&n| n <= MAX_TOTAL_LENGTH).ok_or(InvalidReply)?;
             let all = end + 2 + length + 2;
             if buffer.len() < all {
                 return Ok(None);
             }
             if &buffer[all - 2..all] != b"\r\n" {
-                return Err(Garbage);
+                return Err(InvalidReply);
             }
-            let body = std::str::from_utf8(&buffer[end + 2..all - 2]).map_err(|_| Garbage)?;
-            let total = body.trim().parse::<f64>().ok().filter(|t| t.is_finite()).ok_or(Garbage)?;
+            let body = std::str::from_utf8(&buffer[end + 2..all - 2]).map_err(|_| InvalidReply)?;
+            let total = body.trim().parse::<f64>().ok().filter(|t| t.is_finite()).ok_or(InvalidReply)?;
             buffer.advance(all);
             Ok(Some(Reply::Total(total)))
         }
-        _ => Err(Garbage),
+        _ => Err(InvalidReply),
     }
 }
 
@@ -113,8 +114,8 @@
         let text = b"*4\r\n$7\r\nINCRTTL\r\n$16\r\n000000000000002a\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n";
         assert_eq!(&out[..], &text[..]);
         assert_eq!(Add::new(CountName(1), f64::NAN, 1), None);
-        let most = Add::new(CountName(1), 1e300, u64::MAX).expect("a call");
-        assert_eq!((most.amount, most.keep_ms), (MAX_AMOUNT, MAX_KEEP_MS));
+        let clamped = Add::new(CountName(1), 1e300, u64::MAX).expect("a call");
+        assert_eq!((clamped.amount, clamped.keep_ms), (MAX_AMOUNT, MAX_KEEP_MS));
         assert_eq!(Add::new(CountName(1), 1.0, 0).expect("a call").keep_ms, 1);
     }
 
@@ -140,7 +141,7 @@
             b"HTTP",
         ];
         for bad in bad {
-            assert_eq!(decode(&mut BytesMut::from(bad)), Err(Garbage), "{bad:?}");
+            assert_eq!(decode(&mut BytesMut::from(bad)), Err(InvalidReply), "{bad:?}");
         }
     }
 }
--- a/crates/protocol/src/outcome.rs
+++ b/crates/protocol/src/outcome.rs
@@ -11,11 +11,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyEnd {
     /// It was received completely.
-    Whole,
+    Complete,
     /// The connection failed before its end.
     Broken,
     /// It can't be decoded, or is longer than allowed.
-    Spoilt,
+    Unusable,
 }
 
 /// The outcome of an attempt whose answer had this head and body end. Danger: 503 without `X-Not-Run: 1` is
@@ -27,9 +27,9 @@
         // The head alone states that the request was not executed, whatever happened to the body.
         _ if is_unavailable && not_run => Outcome::Rejected,
         BodyEnd::Broken => Outcome::Reset,
-        BodyEnd::Spoilt => Outcome::Error,
-        BodyEnd::Whole if status == StatusCode::OK => Outcome::Ok,
-        BodyEnd::Whole => Outcome::Error,
+        BodyEnd::Unusable => Outcome::Error,
+        BodyEnd::Complete if status == StatusCode::OK => Outcome::Ok,
+        BodyEnd::Complete => Outcome::Error,
     }
 }
 
@@ -47,16 +47,16 @@
             outcome(StatusCode::from_u16(status).expect("a status"), &headers, body)
         };
         use BodyEnd::*;
-        assert_eq!(outcome_of(200, "", Whole), Outcome::Ok);
-        assert_eq!(outcome_of(200, "1", Whole), Outcome::Ok);
+        assert_eq!(outcome_of(200, "", Complete), Outcome::Ok);
+        assert_eq!(outcome_of(200, "1", Complete), Outcome::Ok);
         assert_eq!(outcome_of(200, "", Broken), Outcome::Reset);
-        assert_eq!(outcome_of(200, "", Spoilt), Outcome::Error);
-        assert_eq!(outcome_of(500, "", Whole), Outcome::Error);
-        assert_eq!(outcome_of(500, "1", Whole), Outcome::Error);
+        assert_eq!(outcome_of(200, "", Unusable), Outcome::Error);
+        assert_eq!(outcome_of(500, "", Complete), Outcome::Error);
+        assert_eq!(outcome_of(500, "1", Complete), Outcome::Error);
         for status in [503, 504] {
-            assert_eq!(outcome_of(status, "", Whole), Outcome::Error);
-            assert_eq!(outcome_of(status, "0", Whole), Outcome::Error);
-            for body in [Whole, Broken, Spoilt] {
+            assert_eq!(outcome_of(status, "", Complete), Outcome::Error);
+            assert_eq!(outcome_of(status, "0", Complete), Outcome::Error);
+            for body in [Complete, Broken, Unusable] {
                 assert_eq!(outcome_of(status, "1", body), Outcome::Rejected);
             }
         }
