--- a/crates/decisions/src/control.rs
+++ b/crates/decisions/src/control.rs
@@ -24,20 +24,20 @@
 /// Weight of one tick in the mean of active attempts: smooths over 0.2 s, a few times a request's duration.
 /// One node has few requests out, so that their number fluctuates, and overload is judged by it.
 const ACTIVE_GAIN: f64 = 0.1;
-/// A lease unused for this long is returned to the counter.
+/// The lease of a customer without requests for this long is returned, unless the counter is overloaded.
 const LEASE_IDLE: Micros = 3_000_000;
-/// How long an idle customer's state is kept at least, and how often customers and servers are swept.
+/// An idle customer's state is kept at least this long.
 const CUSTOMER_KEEP: Micros = 6_000_000;
-const SWEEP_PERIOD: Micros = 500_000;
-/// Time constant of demand and draw rates: a few requests of a busy customer, shorter than a spike.
-pub(crate) const RATE_SPAN: f64 = 2.0e6;
+const SWEEP_PERIOD: Micros = 500_000; // Interval of returning leases, evicting state, sizing the subset.
+/// Time constant of demand, draw and send rates: a few requests of a busy customer, shorter than a spike.
+pub(crate) const RATE_SPAN: f64 = 2.0e6; // Microseconds.
 /// Time constant of the rate of answers: some tens of answers, well within the onset of an overload.
-const DONE_SPAN: f64 = 1.5e6;
+const DONE_SPAN: f64 = 1.5e6; // Microseconds.
 /// The first backoff after a failed counter call.
 const COUNTER_BACKOFF: Micros = 50_000;
 /// The latency assumed before the first answer, in microseconds.
 const INITIAL_LATENCY: f64 = 100_000.0;
-/// Time constant of failure shares.
+/// Time constant of failure shares, in microseconds.
 pub(crate) const FAIL_SPAN: f64 = 15.0e6;
 /// Failures are counted by kind: a class's index, or a plan's plus this. Classes may be added later.
 const PLAN_KINDS: usize = 1 << 32;
@@ -54,8 +54,8 @@
     /// Level of its fleet-wide bucket by the counter's total at `level_at`, in units.
     level: f64,
     level_at: Micros,
-    /// Share of its lease calls that found the bucket empty.
-    empty_share: DecayingMean,
+    /// Share of its lease calls that were not granted in full.
+    shortfall_share: DecayingMean,
     /// Requests admitted without a call for each one that calls, if the open call is such a sample.
     unasked_per_call: f64,
     /// The counter's last window and total; none before the first answer.
@@ -64,7 +64,7 @@
     others: Rate,
     demand_rate: Rate,
     draw_rate: Rate,
-    mean: f64,
+    mean: f64, // EWMA of the units of its requests.
     call: Option<Call>,
     /// Requests that wait for the open call.
     waiting: VecDeque<RequestId>,
@@ -75,7 +75,7 @@
     promises: Schedule,
     /// Attempts that count towards the plan's concurrency quota.
     open: u32,
-    used_at: Micros,
+    used_at: Micros, // When its latest request arrived.
 }
 
 struct Attempt {
@@ -99,7 +99,7 @@
     /// Most attempts, by the settings at its arrival.
     try_limit: u32,
     arrived: Micros,
-    due: Micros,
+    due: Micros, // When the client gives up this try.
     is_retry: bool,
     drawn_units: f64,
     attempts: Vec<Attempt>,
@@ -122,8 +122,8 @@
     started: Micros,
     /// When each pending attempt was sent, except those that stream.
     in_flight: VecDeque<Micros>,
-    pub(crate) latency: f64,
-    answers: Rate,
+    pub(crate) latency: f64, // EWMA, in microseconds.
+    answers: Rate,           // Successful answers that are not streamed, and resets that do not eject it.
     /// Share of attempts that failed, by kind: class or plan.
     pub(crate) failures: BTreeMap<usize, DecayingMean>,
     /// When it last answered, or was added to the list.
@@ -135,7 +135,7 @@
     /// Attempts that ended by a connection reset since its last answer.
     resets: u32,
     eject_end: Micros,
-    /// Limits what it is sent while it is cold, in requests.
+    /// Token bucket, one token per request: limits how fast it is sent requests while it is cold.
     slow_start: Bucket,
 }
 
@@ -158,8 +158,8 @@
     ask_share: f64,
     /// Mean expected loss of deciding without a call.
     mean_stake: f64,
-    /// By plan, the share of lease calls that found the bucket empty.
-    empty_by_plan: BTreeMap<usize, DecayingMean>,
+    /// By plan, the share of lease calls that were not granted in full.
+    shortfall_by_plan: BTreeMap<usize, DecayingMean>,
     requests: BTreeMap<RequestId, Request>,
     /// Requests that wait for an eligible server.
     parked: VecDeque<RequestId>,
@@ -171,16 +171,16 @@
     subset_size: usize,
     /// The highest recent send rate, in requests per second.
     peak: Rate,
-    /// Whether a listed server is surely warm; what such a server answers for this node, in requests per
-    /// second for size 1; and its usual latency. Rate and latency keep their values while no server is warm.
+    /// Whether a listed server is surely warm, by its age.
     any_warm: bool,
+    /// Answers per second that a warm server of size 1 gives this node; kept while no server is warm.
     pub(crate) warm_rate: Rate,
-    pub(crate) base: f64,
-    /// For how long these two were measured, in microseconds.
+    pub(crate) base: f64, // Usual latency of warm servers, in microseconds; kept like `warm_rate`.
+    /// For how long `warm_rate` and `base` have been measured in total, in microseconds.
     pub(crate) warm_measured_for: f64,
-    pub(crate) latency: f64,
-    pub(crate) deviation: f64,
-    /// Smoothed number of active attempts at healthy servers.
+    pub(crate) latency: f64,   // EWMA over all servers, in microseconds.
+    pub(crate) deviation: f64, // EWMA of the samples' absolute deviation from `latency`.
+    /// Smoothed `active_count` of all healthy listed servers: without attempts that stream or count as lost.
     active_mean: f64,
     /// Share of attempts over all servers that failed, by kind.
     pub(crate) failures: BTreeMap<usize, DecayingMean>,
--- a/crates/decisions/src/control/attempts.rs
+++ b/crates/decisions/src/control/attempts.rs
@@ -88,10 +88,9 @@
             }
         }
         let unheard_since = s.seen_at < sent_at && sent_at >= s.eject_end;
-        // Connections may reset at all servers alike (a lossy network, servers that close idle ones early):
-        // if one reset ejected a server, most of a healthy fleet would be out. So resets count by how rare
-        // they are, and by no answer since: where they are rare, one suffices. The price: a server that dies
-        // while many others reset fails two or three more attempts.
+        // Resets may hit all servers alike (a lossy network, servers that close idle connections early): if
+        // one ejected a server, most of a healthy fleet would be out. So one suffices only where they are
+        // rare. The price: a server that dies while many others reset fails two or three more attempts.
         let common = self.reset_share.mean(now, 0.0, FAIL_SPAN);
         let was_reset = end.outcome == Outcome::Reset;
         if was_reset || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
--- a/crates/decisions/src/control/choice.rs
+++ b/crates/decisions/src/control/choice.rs
@@ -7,7 +7,7 @@
 };
 use crate::ring;
 
-/// Duration of a server's first ejection; it doubles with each one up to the maximum.
+/// Duration of a server's first ejection; it doubles with each one up to `EJECT_MAX`.
 const EJECT: Micros = 400_000;
 const EJECT_MAX: Micros = 6_400_000;
 /// Factor on the guaranteed warmth of a cold server that is as fast as warm ones; far below `fall_multiple`.
@@ -21,13 +21,13 @@
 /// Share of the former warm rate that they get at least, also while they answer nothing. They may be smaller
 /// than before, and an overloaded one answers nothing in time.
 const COLD_MIN: f64 = 0.25;
-/// Time constant of the warm rate: it averages over a rush, and takes in little of a crash's last moments.
-const WARM_SPAN: f64 = 15.0e6;
+/// Time constant of `warm_rate`, `base`: averages over a rush, takes in little of a crash's last moments.
+const WARM_SPAN: f64 = 15.0e6; // Microseconds.
 /// Pending attempts per server from which on the node's own counts outweigh the random draw. Without the draw
 /// all nodes with fewer would take the same few fastest servers until these are full.
 const INFORMED_AT: f64 = 0.12;
-/// A healthy server that has answered nothing for this long, and for this many mean intervals between this
-/// node's requests to one server, gets the next request.
+/// A sound server without attempts gets the next request if it has answered nothing for this long, and for
+/// `STALE_INTERVALS` mean intervals between this node's requests to one server.
 const STALE_AFTER: Micros = 2_000_000;
 const STALE_INTERVALS: f64 = 4.0;
 /// What a certain failure adds to a server's cost.
--- a/crates/decisions/src/control/leases.rs
+++ b/crates/decisions/src/control/leases.rs
@@ -6,20 +6,20 @@
     RequestId, COUNTER_BACKOFF, FAIL_SPAN, GOLDEN, RATE_SPAN,
 };
 
-/// A lease covers this long at the recent demand, at least so many mean requests: little lies idle.
+/// The time, in microseconds, whose recent demand a lease covers: short, so that little lies idle.
 const LEASE_SPAN: f64 = 0.5e6;
-const LEASE_REQUESTS: f64 = 3.0;
+const LEASE_REQUESTS: f64 = 3.0; // At least so many mean requests, up to the node's part of the burst.
 /// A customer's total gets a new key after this long: much longer than a burst, and within its time to live.
 const WINDOW: Micros = 30_000_000;
-pub(super) const COUNT_TTL: Micros = 60_000_000;
+pub(super) const COUNT_TTL: Micros = 60_000_000; // How long the counter keeps a total.
 /// What an overloaded fleet adds to the cost of a request admitted on a guess, as a share of its worth.
 const LOAD_COST: f64 = 0.5;
 /// While a customer is active, its open attempts at other nodes relative to their mean.
 const BURST_FACTOR: f64 = 3.0;
-/// AIMD of the share that calls the counter: on a prompt answer, on a late one or none; minimum times nodes.
-const ASK_INCREASE: f64 = 0.10;
-const ASK_DECREASE: f64 = 0.85;
-const ASK_MIN: f64 = 4.0;
+/// AIMD of `ask_share`, the share of requests without a lease that call the counter.
+const ASK_INCREASE: f64 = 0.10; // Added to it after a prompt answer.
+const ASK_DECREASE: f64 = 0.85; // Factor on it after a late answer or a failed call.
+const ASK_MIN: f64 = 4.0; // Its minimum times the number of nodes; it is never below 0.05.
 /// The backoff after failed counter calls doubles from `COUNTER_BACKOFF` up to this.
 const COUNTER_BACKOFF_MAX: Micros = 800_000;
 /// Refill that overflowed the bucket is removed from the total from this share of the burst on. What is left
@@ -32,13 +32,12 @@
 pub(super) struct Call {
     /// Units to lease; negative: to return or to remove from the total.
     pub(super) amount: f64,
-    /// The window of the total. The answer may come after its end: applied to the next window, this total
-    /// would leave the customer nothing for all of that.
+    /// The total's window: a late answer, applied to the next one, would leave the customer nothing in it.
     window: u64,
-    /// Units drawn without a lease that it reports as well; how many of these are estimated from a sample.
+    /// Units drawn without a lease that it reports as well.
     pub(super) reported: f64,
-    pub(super) sampled: f64,
-    pub(super) at: Micros,
+    pub(super) sampled: f64, // The part of `reported` that is estimated from a sample.
+    pub(super) at: Micros,   // When it, or the repeated reading, was sent.
     /// Times that its answer was unreadable, or missing after a connection reset.
     pub(super) unread: u32,
     /// Whether its amount was added is unknown.
@@ -57,9 +56,10 @@
         self.settings.counter.allowed && self.now >= self.counter_up_at
     }
 
-    /// Draws a request's units from the lease or the even share, or has it wait for a call if it may.
+    /// Draws a request's units from the lease, the even share or on a guess; else it waits for a call or is
+    /// denied. `is_new`: it queues behind the waiting requests; otherwise it is the first of them.
     #[expect(clippy::too_many_lines, reason = "not split yet: docs/ROADMAP.md, Gateway 13")]
-    pub(super) fn draw(&mut self, id: &RequestId, may_wait: bool, out: &mut Vec<Action>) -> Draw {
+    pub(super) fn draw(&mut self, id: &RequestId, is_new: bool, out: &mut Vec<Action>) -> Draw {
         let (now, up) = (self.now, self.counter_up());
         let Some(request) = self.requests.get_mut(id) else { return Draw::Denied(Reason::Overdue) };
         let Some(c) = self.customers.get_mut(&request.customer) else { return Draw::Denied(Reason::Overdue) };
@@ -81,7 +81,7 @@
         if plan.quota_rate <= 0.0 {
             return Draw::Granted;
         }
-        if c.lease >= units && (!may_wait || c.waiting.is_empty()) {
+        if c.lease >= units && (!is_new || c.waiting.is_empty()) {
             c.lease -= units;
             request.drawn_units = units;
             c.draw_rate.add(now, units, RATE_SPAN);
@@ -92,7 +92,7 @@
             return Draw::Granted;
         }
         let queued: f64 = c.waiting.iter().filter_map(|w| self.requests.get(w)).map(|w| w.units).sum();
-        let queued = if may_wait { queued } else { 0.0 };
+        let queued = if is_new { queued } else { 0.0 };
         let left = projected_level(c, plan, now);
         if let (true, Some(call)) = (up, &c.call) {
             let refilled = c.lease + call.amount.min(left).max(0.0);
@@ -105,15 +105,15 @@
         let load = (self.expected_latency() / (self.shortest_target() * SHED_DEAREST).max(1.0)).min(1.0);
         let Some(c) = self.customers.get_mut(&key) else { return Draw::Denied(Reason::Overdue) };
         // The probability of a call grows with the expected loss of a wrong guess.
-        let prior = self.empty_by_plan.get(&c.plan).map_or(0.3, |t| t.mean(now, 0.3, FAIL_SPAN));
-        let risk = c.empty_share.mean(now, prior, FAIL_SPAN);
+        let prior = self.shortfall_by_plan.get(&c.plan).map_or(0.3, |t| t.mean(now, 0.3, FAIL_SPAN));
+        let risk = c.shortfall_share.mean(now, prior, FAIL_SPAN);
         let cost = plan.excess_cost - plan.extra_worth;
         let stake = (1.0 - risk).min(risk * cost.max(0.0)) * plan.worth_factor * units * credit;
-        // Where the even share holds no whole request, one is admitted on a guess if the bucket is likely not
-        // empty. Under load that displaces other requests, so that guesses are the first to be refused.
+        // Where the even share holds no whole request, one is admitted on a guess if the counter would likely
+        // grant it. Under load that displaces other requests, so that guesses are the first to be refused.
         let is_small = plan.burst / c.spread < c.mean;
         let guessed = is_small && plan.ceiling_rate <= 0.0 && 1.0 - risk > risk * cost + load * LOAD_COST;
-        self.mean_stake += (stake - self.mean_stake) * if may_wait { 0.02 } else { 0.0 };
+        self.mean_stake += (stake - self.mean_stake) * if is_new { 0.02 } else { 0.0 };
         let odds = self.ask_share * (stake / self.mean_stake.max(1e-9)).clamp(0.2, 5.0);
         let chance = odds / (1.0 - self.ask_share + odds);
         if up && uniform(&mut self.random) < chance {
@@ -137,7 +137,7 @@
         Draw::Denied(Reason::ShareExhausted)
     }
 
-    /// Calls for a lease sized by the demand: at most half of the projected level, but at least `need`.
+    /// Calls for a lease sized by the demand: at most half of the projected level, but for at least `need`.
     pub(super) fn refill(&mut self, key: CustomerId, need: f64, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(c) = self.customers.get_mut(&key) else { return };
@@ -145,14 +145,14 @@
         let left = projected_level(c, plan, now);
         // Whole requests leased by each of a hundred nodes would strand the burst of a slow customer.
         let part = (LEASE_REQUESTS * c.mean).min(plan.burst / c.spread);
-        let block = (c.demand_rate.get(now, RATE_SPAN) * LEASE_SPAN / 1e6).max(part);
-        let amount = (need - c.lease).max(block - c.lease).min((left / 2.0).max(need - c.lease)).max(0.0);
+        let target = (c.demand_rate.get(now, RATE_SPAN) * LEASE_SPAN / 1e6).max(part);
+        let amount = (need - c.lease).max(target - c.lease).min((left / 2.0).max(need - c.lease)).max(0.0);
         if amount > 0.0 {
             self.call_counter(key, amount, out);
         }
     }
 
-    /// Adds an amount to the customer's total, together with what is not yet reported.
+    /// Calls the counter to add an amount to the customer's total, together with what is not yet reported.
     pub(super) fn call_counter(&mut self, key: CustomerId, amount: f64, out: &mut Vec<Action>) {
         let Some(c) = self.customers.get_mut(&key) else { return };
         let window = window_of(key, self.now);
@@ -194,10 +194,10 @@
             resolve_in_doubt(c, &mut call, total);
             (not_granted, correction) = apply(c, plan, key, now, &call, total);
             if call.amount > 0.0 {
-                let empty = if not_granted > 0.0 { 1.0 } else { 0.0 };
-                c.empty_share.add(now, empty, FAIL_SPAN);
-                self.empty_by_plan.entry(c.plan).or_default().add(now, empty, FAIL_SPAN);
-                not_granted += empty * call.sampled;
+                let had_shortfall = if not_granted > 0.0 { 1.0 } else { 0.0 };
+                c.shortfall_share.add(now, had_shortfall, FAIL_SPAN);
+                self.shortfall_by_plan.entry(c.plan).or_default().add(now, had_shortfall, FAIL_SPAN);
+                not_granted += had_shortfall * call.sampled;
             }
         } else if !unclear {
             // The counter is silent or overloaded: exponential backoff, with jitter to spread the nodes.
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Returns leases unused for `idle`. 0: the node is shutting down; each open call repeats it at its end.
+    /// While the counter is up, returns the leases above half a mean request of customers that were idle for
+    /// `idle` and without an open call. 0: the node is shutting down; each open call repeats it at its end.
     pub(super) fn return_leases(&mut self, idle: Micros, out: &mut Vec<Action>) {
         let (now, up) = (self.now, self.counter_up());
         self.stopping |= idle == 0;
--- a/crates/decisions/src/control/overload.rs
+++ b/crates/decisions/src/control/overload.rs
@@ -2,11 +2,11 @@
 
 use super::{Controller, Micros, RequestId, ACTIVE_GAIN, DONE_SPAN, TICK};
 
-/// Time constant of the mean latency, and its weight in the expected latency, in active attempts.
+/// Time constant of the mean latency, in microseconds.
 pub(super) const MEAN_SPAN: f64 = 4.0e6;
-const PRIOR_ATTEMPTS: f64 = 3.0;
-/// A request is shed when the expected latency exceeds this share of the target: for the cheapest and the
-/// dearest requests. Service times vary about as much as their mean, hence well below 1.
+const PRIOR_ATTEMPTS: f64 = 3.0; // The mean latency's weight in the expected latency, in active attempts.
+/// A request is shed when the expected latency exceeds this share of the shortest target: for requests worth
+/// least, and for those worth most. Service times vary about as much as their mean, hence well below 1.
 pub(super) const SHED_CHEAPEST: f64 = 0.25;
 pub(super) const SHED_DEAREST: f64 = 0.48;
 
--- a/crates/decisions/tests/common/fleet.rs
+++ b/crates/decisions/tests/common/fleet.rs
@@ -150,7 +150,7 @@
     attempts: BTreeMap<(usize, RequestId), Vec<ServerId>>,
     /// Which node has sent to which server.
     connections: BTreeSet<(usize, ServerId)>,
-    /// When each request was served, and how long it took.
+    /// When the final attempt of each served request ended, and how long that attempt took.
     served: Vec<(Micros, Micros)>,
     /// When each request arrived, and when each was refused or failed.
     pub arrived_at: Vec<Micros>,
--- a/crates/decisions/tests/quotas.rs
+++ b/crates/decisions/tests/quotas.rs
@@ -307,12 +307,14 @@
     assert_eq!(sent(&all).len(), waiting, "all waiting requests are sent");
 }
 
-/// Submits a request, answers all resulting calls and attempts, and returns all actions.
+/// Submits a request and serves it; see [`serve`].
 fn submit_and_serve(gateway: &mut TestNode, counter: &mut Counter) -> Vec<Action> {
     let (_, actions) = gateway.submit(0, 1.0);
     serve(gateway, counter, actions)
 }
 
+/// Answers all calls of `actions`, ends the attempts that are sent, and answers the calls that follow. Returns the
+/// actions from before the attempts' ends; later ones are not returned.
 fn serve(gateway: &mut TestNode, counter: &mut Counter, actions: Vec<Action>) -> Vec<Action> {
     let all = answer_calls(gateway, counter, actions);
     for (id, server) in sent(&all) {
@@ -447,7 +449,7 @@
     // The same holds where an attempt beyond the quota costs nothing.
     let (mut other, mut count) = (TestNode::new(limited(3, 0.0), 4), Counter::default());
     assert_eq!((0..4).flat_map(|_| admit(&mut other, &mut count)).count(), 3);
-    // Other nodes draw 60 units per second, which at 100 ms each means six open attempts.
+    // Other nodes draw 60 units per second: at the estimated latency, and with bursts, more than three open attempts.
     for _ in 0..80 {
         gateway.advance(50 * MS);
         counter.0.values_mut().for_each(|total| *total += 3.0);
