--- a/crates/admission/src/duty.rs
+++ b/crates/admission/src/duty.rs
@@ -128,6 +128,7 @@
     joint_until: Micros,
     /// The end of the epoch's lease: a quorum has confirmed that the epoch was the newest, so the node may act until this time.
     epoch_lease_until: Micros,
+    /// The other nodes that are reachable.
     alive: BTreeSet<String>,
     /// An earlier process of this node may have promised slices. This process promises nothing until those promises have
     /// expired, or until all nodes that may rely on them have learned of the restart and dropped them.
@@ -137,7 +138,9 @@
     leases: Vec<SliceLease>,
     /// Promises that this node has made, by slice.
     promises: BTreeMap<usize, SlicePromise>,
+    /// The number of this node's last claim.
     last_claim: u64,
+    /// When the slices are claimed next, unless the set of live nodes changes before.
     renew_at: Micros,
 }
 
@@ -233,7 +236,8 @@
     }
 
     /// Whether a node is eligible for slices. New voters are not during the joint period: a restarted node may know only the
-    /// previous epoch, and before it promises again it waits just for that epoch's voters to learn of the restart.
+    /// previous epoch, and before it promises again it waits just for that epoch's voters to learn of the restart. It could
+    /// promise a slice to another node while a new voter still relies on a promise of its earlier process.
     fn is_eligible(&self, now: Micros, name: &String) -> bool {
         let Voters { members, previous, .. } = &self.voters;
         members.contains(name) && (!self.is_joint(now) || previous.contains(name))
--- a/crates/admission/src/lease_cache/tenant.rs
+++ b/crates/admission/src/lease_cache/tenant.rs
@@ -12,7 +12,7 @@
 use crate::quota_allocator::{max_share_balance, IDLE_TIMEOUT, SHARE_LIFETIME};
 use crate::Micros;
 
-/// The time over which demand and admissions are smoothed, in microseconds.
+/// The time constant of the rates of demand and admissions, in microseconds.
 const RATE_WINDOW: f64 = 1.0e6;
 /// Units are requested to cover the demand of this period, in microseconds.
 const LEASE_LOOKAHEAD: f64 = 0.3e6;
@@ -69,7 +69,7 @@
 #[derive(Debug, Default)]
 pub(super) struct TenantCache {
     quota: Quota,
-    /// In order of expiry.
+    /// The leases, in order of expiry.
     leases: VecDeque<Lease>,
     /// The lease duration in the last grant; 0 before the first one.
     lease_duration: Micros,
--- a/crates/admission/src/quota_allocator.rs
+++ b/crates/admission/src/quota_allocator.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The time over which a proxy's demand is smoothed, in microseconds.
+/// The time constant with which the units that a proxy leases are averaged as its demand, in microseconds.
 const DEMAND_WINDOW: f64 = 3.0e6;
 /// The limit of the sum of all shares, as a fraction of the rate. The margin is for proxies that still hold outdated shares.
 const MAX_TOTAL_SHARE: f64 = 0.95;
@@ -36,6 +36,7 @@
 /// A proxy that leases units.
 #[derive(Debug, Clone, Copy, Default)]
 struct Lessee {
+    /// The units per second that the proxy has leased lately, with the time constant [`DEMAND_WINDOW`].
     demand: Rate,
     /// The share that the proxy was granted last.
     granted_share: f64,
@@ -49,6 +50,7 @@
     reserved: f64,
     /// The units of its share that the proxy had left at its last request.
     share_left: f64,
+    /// When the proxy's last request arrived.
     last_request: Micros,
 }
 
@@ -109,6 +111,7 @@
     level: f64,
     /// When the bucket was last refilled.
     filled_at: Micros,
+    /// When this allocator was created.
     started_at: Micros,
     /// The sum of the shares that the previous allocator may have granted to proxies that have sent no request to this one.
     unknown_shares: f64,
@@ -218,7 +221,8 @@
     }
 
     /// Takes the units that a proxy has spent of its share from the bucket. Units that were reserved while it was missing count
-    /// towards them. An unspent rest is put back up to what the proxy could have accumulated; more was lost to the proxy too.
+    /// towards them. An unspent rest is put back up to what the proxy could have accumulated. The rest above that is dropped: the
+    /// proxy's share overflowed as well, so the proxy lost those units too.
     fn settle(&mut self, now: Micros, proxy: &str, usage: &Usage) {
         let held_share = usage.held_share.clamp(0.0, 1.0);
         if !self.lessees.contains_key(proxy) {
