--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -88,9 +88,11 @@
 /// The last reported state of a proxy.
 #[derive(Debug, Clone, Copy, Default)]
 struct ProxyState {
+    /// The process that sent the report: a report of an earlier process does not count for the linked one.
     process_id: u64,
     /// The revision of the rollout item that is in force at the proxy.
     in_force: u64,
+    /// Whether it sends no new requests to the stable versions and has none open there.
     has_drained: bool,
 }
 
@@ -98,12 +100,14 @@
 #[derive(Debug, Clone)]
 pub struct Decider {
     bounds: RolloutBounds,
+    /// See [`Decider::order`].
     order: u64,
     /// When this registry learned of the order.
     known_since: Micros,
     /// The age of the order at `known_since`.
     age_when_known: Micros,
     evidence: Evidence,
+    /// The last reported state of each proxy, by node.
     proxies: BTreeMap<String, ProxyState>,
     /// The largest number of ready servers of the new version so far.
     most_target_servers: usize,
@@ -117,6 +121,7 @@
     suspect_since: Option<Micros>,
     /// The last verdict; a bad one is final and ends all permits.
     verdict: Verdict,
+    /// When a stage was last proposed; `None` since the item's stage last changed.
     proposed_at: Option<Micros>,
 }
 
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -31,7 +31,8 @@
 /// Within these limits, over the whole time since the order, the new version is healthy.
 const HEALTHY_LIMITS: Limits =
     Limits { failure_tolerance: 0.02, slowness_tolerance: 0.04, deviations: 1.5, min_bad_attempts: 3 };
-/// Beyond these limits the new version is worse once it gets all requests, compared with the stable versions' earlier attempts.
+/// Beyond these limits the new version is worse once it gets all requests. Only failures are compared, not latencies: those of
+/// its recent attempts with those of all attempts at the stable versions since the order.
 const CUTOVER_LIMITS: Limits = Limits { failure_tolerance: 0.15, ..WORSE_LIMITS };
 /// Latencies are compared from this many classes below the route's target on. Lower ones reflect the cost of new connections.
 const CLASSES_BELOW_TARGET: usize = 3;
@@ -130,7 +131,8 @@
         self.last_reports.insert(node.into(), last);
     }
 
-    /// Adds new counts to the totals of their route.
+    /// Adds new counts to the totals of their route, or to those of [`OTHER_ROUTES`] if it would exceed [`MAX_ROUTES`]. The totals
+    /// keep the highest target class.
     fn add(&mut self, change: &RouteSample) {
         let is_known = self.totals.contains_key(&change.route) || self.totals.len() < MAX_ROUTES;
         let route = if is_known { change.route } else { OTHER_ROUTES };
--- a/crates/rollout/src/exposure.rs
+++ b/crates/rollout/src/exposure.rs
@@ -17,11 +17,12 @@
     /// Requests that were sent to the new version, including repeated attempts there.
     exposed: u64,
     first_exposed_at: Option<Micros>,
+    /// The newest permit, possibly expired.
     permit: Option<RolloutPermit>,
 }
 
 impl Exposure {
-    /// Counts a request to the service, whichever version gets it.
+    /// Counts a request to the service, whichever version gets it, once a permit has been received.
     pub fn count_reached(&mut self) {
         self.reached += u64::from(self.permit.is_some());
     }
