--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -25,8 +25,12 @@
     durable_ceiling: u64,
     /// The promise ceiling once the writes in progress are durable.
     requested_ceiling: u64,
+    /// No batch is accepted under a lower ballot: the highest ballot that was promised, accepted or learned with a commit. At
+    /// the start all ballots up to the ceiling on disk count as promised.
     promised: Ballot,
+    /// The highest ballot under which it has accepted a batch or learned of a commit; the ballot of `pending`, if there is one.
     accepted: Ballot,
+    /// The accepted batch that it does not know to be committed.
     pending: Pending,
     committed: IndexedItems,
 }
--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -5,7 +5,7 @@
 use crate::message::{Member, StoreName};
 use crate::Micros;
 
-/// A member counts as failed after a silence of this length, and is replaced if a non-voting store is alive.
+/// A member counts as failed after a silence of this length, and is replaced if a spare (non-voting) store is ready.
 const FAILURE_TIMEOUT: Micros = 2_500_000;
 /// A silence of this length interrupts the time for which a store counts as continuously alive.
 const INTERRUPTION_TIMEOUT: Micros = 1_200_000;
@@ -16,7 +16,8 @@
 /// A store that has been alive for this long may vote even if its replica differs: the change of membership delivers the
 /// committed items that it lacks.
 const UNEQUAL_REPLICA_WAIT: Micros = 1_500_000;
-/// If there are fewer spare stores than members to add, a spare store that has been alive for this long joins nevertheless.
+/// If there are fewer spare stores than members to replace and to add, those that replace no failed member join only once
+/// they have been alive for this long.
 const PARTIAL_GROWTH_AFTER: Micros = 5_000_000;
 /// A longer gap between two ticks means that this process has stalled: heartbeats that it did not receive meanwhile do not
 /// show that a peer has failed.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -96,7 +96,7 @@
         ballot: Ballot,
         /// The incarnation of the acceptor's disk: an acceptor that has lost its disk is another member.
         incarnation: u64,
-        /// The highest ballot under which the acceptor has accepted or committed a batch.
+        /// The highest ballot under which the acceptor has accepted a batch or learned of a commit.
         accepted: Ballot,
         /// The batch that it accepted under that ballot, unless it knows the batch to be committed.
         pending: Pending,
--- a/crates/consensus/src/persistent_state.rs
+++ b/crates/consensus/src/persistent_state.rs
@@ -15,9 +15,9 @@
     pub membership: Membership,
     /// The promise ceiling: no ballot of a higher round has been promised.
     pub promise_ceiling: u64,
-    /// The highest ballot under which a batch was accepted or committed.
+    /// The ballot under which a batch was last accepted, or the ballot of the commit that ended the pending state of that batch.
     pub accepted: Ballot,
-    /// The batch that was accepted under that ballot, unless it is known to be committed.
+    /// The batch that was accepted under that ballot; `None` after such a commit.
     pub pending: Pending,
     /// The committed items.
     pub items: Vec<Item>,
@@ -53,7 +53,7 @@
     pub membership: Option<Membership>,
     /// The new promise ceiling.
     pub promise_ceiling: Option<u64>,
-    /// The highest ballot under which a batch was accepted or committed, and the batch that is pending under it.
+    /// The new [`PersistentState::accepted`] and [`PersistentState::pending`].
     pub accepted: Option<(Ballot, Pending)>,
     /// Newly committed items.
     pub committed: Vec<Item>,
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -21,8 +21,8 @@
 use replacement::Replacement;
 pub use replacement::MEMBERSHIP_CHANGE_INTERVAL;
 
-/// A store that has held a pending batch for this long proposes it again, so that it is committed; each rank waits half as
-/// long again.
+/// A store that has held a pending batch for this long proposes it again, so that it is committed; each
+/// rank adds half of this.
 const RECOVERY_DELAY: Micros = 500_000;
 /// The id of the requests that a store issues itself; replies to them are dropped.
 const INTERNAL_REQUEST_ID: RequestId = u64::MAX;
@@ -81,7 +81,7 @@
         /// The outcome of the request.
         reply: Reply,
     },
-    /// Committed items that are new to this store.
+    /// Committed items that are new to this store; their write may still be in progress.
     Committed(Vec<Item>),
 }
 
@@ -90,7 +90,8 @@
 enum AfterWrite {
     /// Send [`Message::Accepted`] to a proposer.
     SendAccepted { to: StoreName, ballot: Ballot },
-    /// Send the promise to a proposer, or the membership if a newer one is in force.
+    /// Send the promise to a proposer, or a rejection if a higher ballot has been promised, or the membership if a newer
+    /// one is in force.
     SendPromise {
         to: StoreName,
         epoch: u64,
@@ -129,10 +130,12 @@
     failure_detector: FailureDetector,
     /// What to do after each write in progress, by the id of the write.
     after_write: BTreeMap<u64, AfterWrite>,
+    /// The id of the last write.
     last_write: u64,
     /// Since when a batch has been pending, or when it was last proposed for recovery.
     pending_since: Option<Micros>,
     replacement: Replacement,
+    /// When the next heartbeat is due.
     next_heartbeat: Micros,
     lease: Lease,
     /// Messages of the store to itself.
@@ -231,7 +234,7 @@
     }
 
     /// Whether its replica is complete: a quorum has confirmed that it held all committed items, either in this process, or
-    /// earlier on the disk with which the store votes.
+    /// earlier on the disk with which the store votes. After the first start of the system no confirmation is needed.
     pub fn is_complete(&self) -> bool {
         self.lease.was_ever_held() || self.acceptor.is_complete() && self.is_voter()
     }
@@ -304,8 +307,15 @@
     }
 
     fn submit_request(&mut self, now: Micros, id: RequestId, request: Request, effects: &mut Effects) {
-        let observed = self.acceptor.highest_ballot();
-        self.proposer.request(now, id, request, self.acceptor.items(), observed, &mut effects.actions);
+        let highest_known_ballot = self.acceptor.highest_ballot();
+        self.proposer.request(
+            now,
+            id,
+            request,
+            self.acceptor.items(),
+            highest_known_ballot,
+            &mut effects.actions,
+        );
     }
 
     fn send(&mut self, to: StoreName, message: Message, out: &mut Vec<Output>) {
@@ -316,6 +326,7 @@
         }
     }
 
+    /// Emits the write of a change, unless the change is empty. `after` is carried out once the change is durable.
     fn write(&mut self, change: StateChange, after: Option<AfterWrite>, out: &mut Vec<Output>) {
         if change == StateChange::default() {
             return;
@@ -349,7 +360,7 @@
         }
     }
 
-    /// Writes and reports newly learned committed items.
+    /// Emits the write of newly learned committed items, and reports them to the caller without waiting for the write.
     fn apply_learned(&mut self, learned: Learned, out: &mut Vec<Output>) {
         self.write(learned.change, None, out);
         report_committed(learned.items, out);
@@ -375,10 +386,10 @@
         }
         self.recover_pending(now, effects);
         self.propose_membership_change(now, effects);
-        let observed = self.acceptor.highest_ballot();
-        self.proposer.tick(now, self.acceptor.items(), observed, &mut effects.actions);
+        let highest_known_ballot = self.acceptor.highest_ballot();
+        self.proposer.tick(now, self.acceptor.items(), highest_known_ballot, &mut effects.actions);
         if now >= self.next_heartbeat {
-            self.send_heartbeats(now, observed, effects.out);
+            self.send_heartbeats(now, highest_known_ballot, effects.out);
         }
     }
 
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -87,14 +87,14 @@
 
 #[test]
 fn each_defect_is_found() {
-    let long = std::env::var("DANCE_SCOPE").is_ok_and(|scope| scope == "long");
+    let also_without_defect = std::env::var("DANCE_SCOPE").is_ok_and(|scope| scope == "long");
     let selected = std::env::var("DANCE_ONLY").unwrap_or_default();
     let mut missed = Vec::new();
     for (defect, scope, expected) in defects() {
         if !format!("{defect:?}").contains(&selected) {
             continue;
         }
-        if long {
+        if also_without_defect {
             let (found, ..) = search(scope.clone());
             assert!(!found.iter().any(is_violation), "violation without {defect:?}: {found:#?}");
         }
--- a/crates/consensus/tests/model/replacement/execution.rs
+++ b/crates/consensus/tests/model/replacement/execution.rs
@@ -23,7 +23,8 @@
 const PROPOSAL_TIME: Micros = 1_000_000;
 /// A process that has not ticked for longer than this has stalled.
 const STALL: Micros = 700_000;
-/// The number of sent heartbeats that are remembered: more than a lease lasts.
+/// The number of sent heartbeats that are remembered. A store sends at most one per tick (250 ms), so they span more than 5 s:
+/// longer than a lease lasts (2 s).
 const HEARTBEATS_KEPT: usize = 24;
 
 impl Scope {
--- a/crates/consensus/tests/model/replacement/state.rs
+++ b/crates/consensus/tests/model/replacement/state.rs
@@ -77,6 +77,7 @@
     Resume(usize),
     /// No message passes between these machines any more.
     CutLink(usize, usize),
+    /// Messages pass between these machines again.
     RestoreLink(usize, usize),
     /// All links of this machine are cut.
     Isolate(usize),
--- a/crates/consensus/tests/stores/main.rs
+++ b/crates/consensus/tests/stores/main.rs
@@ -79,7 +79,8 @@
                 world.send_request(&other, two);
             }
         }
-        // Only one machine at a time is lost, and none for some seconds after the last one is back.
+        // Only one machine at a time is down, in half the cases with its disk wiped, and none for 4 s after the last one is
+        // back. The others at most restart.
         if down.is_none() && world.now >= no_fault_until && world.random.one_in(6) {
             let delay = world.random.below(20_000);
             let at = world.now + delay;
--- a/crates/consensus/tests/stores/world.rs
+++ b/crates/consensus/tests/stores/world.rs
@@ -278,7 +278,9 @@
         self.step_store(name, Input::Request { id: self.last_request_id, request });
     }
 
-    /// Advances the time in steps of one millisecond: delivers messages, completes writes and fires timers.
+    /// Advances the time in steps of one millisecond. Delivers the messages that are due, except that those between the
+    /// isolated machine and the others are lost; completes the writes that are due; ticks every running store each 20 ms; and
+    /// asserts each 10 ms that no acknowledged item is on too few disks.
     pub fn advance_to(&mut self, until: Micros) {
         while self.now < until {
             self.now += 1_000;
