--- a/crates/config-state/examples/catch_up.rs
+++ b/crates/config-state/examples/catch_up.rs
@@ -116,10 +116,11 @@
     for (tenants, routes) in [(38_000, 3_900), (0, 0)] {
         let new = replica(tenants, routes);
         println!("{} items", new.len());
-        let tenant_count = tenants.max(100);
+        // The small replica has no tenants: there the changes add tenants with numbers below 100.
+        let tenant_number_range = tenants.max(100);
         let changed = |count: usize| {
             let mut next = new.clone();
-            next.merge_all((0..count).map(|n| tenant(n * tenant_count / count, 2)));
+            next.merge_all((0..count).map(|n| tenant(n * tenant_number_range / count, 2)));
             next
         };
         synchronize(&new, &changed(1), "one change");
@@ -132,7 +133,7 @@
         let mut revision = 10;
         measure("merge of one changed tenant", 1_000, || {
             revision += 1;
-            item_set.merge(tenant(tenant_count / 2, revision))
+            item_set.merge(tenant(tenant_number_range / 2, revision))
         });
         measure("clone", 10, || item_set.clone());
         let call = [tenant(7, 1_000_000)];
@@ -148,12 +149,12 @@
         let mut table = RoutingTable::from_items(&item_set);
         measure("RoutingTable::apply of one tenant", 1_000, || {
             revision += 1;
-            table.apply(&tenant(tenant_count / 2, revision))
+            table.apply(&tenant(tenant_number_range / 2, revision))
         });
         measure("RoutingTable::apply of one tenant, while a clone exists", 100, || {
             let snapshot = table.clone();
             revision += 1;
-            table.apply(&tenant(tenant_count / 2, revision));
+            table.apply(&tenant(tenant_number_range / 2, revision));
             snapshot
         });
     }
--- a/crates/config-state/src/anti_entropy.rs
+++ b/crates/config-state/src/anti_entropy.rs
@@ -145,6 +145,7 @@
 /// What two replicas have under one key hash. Several keys may share it.
 #[derive(Default)]
 struct KeyHashSides<'s> {
+    /// The items here.
     own: Vec<&'s Arc<Item>>,
     /// The versions of the other replica; `None` if it has no item of this key hash.
     theirs: Option<&'s BTreeSet<Version>>,
@@ -319,7 +320,7 @@
         responder.reply
     }
 
-    /// The digests of [`RANGE_COUNT`] ranges of equal size.
+    /// The digests of the [`RANGE_COUNT`] equal parts of the key-hash space, in order.
     pub fn range_digests(&self) -> Vec<u64> {
         (0..RANGE_COUNT).map(|index| self.tree().range_digest(indexed_range(index))).collect()
     }
--- a/crates/config-state/src/resources.rs
+++ b/crates/config-state/src/resources.rs
@@ -108,20 +108,21 @@
 
 /// Reads fields of an item's text; errors name the item and the field.
 struct Fields {
-    item: String,
+    /// The kind and name of the item, such as `Route r1`, for errors.
+    item_label: String,
     value: Value,
 }
 
 impl Fields {
     fn parse(kind: Kind, name: &str, text: &[u8]) -> Result<Fields, ValidationError> {
-        let item = format!("{kind:?} {name}");
+        let item_label = format!("{kind:?} {name}");
         let parsed = json::parse(text, &json::STORED);
-        let value = parsed.map_err(|error| ValidationError::invalid(&item, error.to_string()))?;
-        Ok(Fields { item, value })
+        let value = parsed.map_err(|error| ValidationError::invalid(&item_label, error.to_string()))?;
+        Ok(Fields { item_label, value })
     }
 
     fn error(&self, field: &str, reason: &str) -> ValidationError {
-        ValidationError::invalid(format!("{}/{field}", self.item), reason)
+        ValidationError::invalid(format!("{}/{field}", self.item_label), reason)
     }
 
     fn get(&self, field: &str) -> Option<&Value> {
--- a/crates/config-state/src/rollout.rs
+++ b/crates/config-state/src/rollout.rs
@@ -84,7 +84,7 @@
 /// The rollout state of a service: which versions of its servers get its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Rollout {
-    /// The stage.
+    /// The stage that decides which of the versions get requests.
     pub stage: Stage,
     /// The version that the requests move to; empty in the baseline.
     pub target: String,
@@ -152,7 +152,7 @@
 /// An operator's order to start a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct RolloutOrder {
-    /// The service.
+    /// The name of the service that is rolled out.
     pub service: String,
     /// The version that its requests move to.
     pub target: String,
@@ -189,9 +189,9 @@
 pub enum RolloutChange {
     /// Records the versions that get the service's requests, unless a rollout has been ordered.
     SetBaseline {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// Its versions.
+        /// The versions that get its requests.
         versions: Vec<String>,
     },
     /// Starts a rollout.
@@ -203,7 +203,7 @@
     },
     /// Moves a rollout to another stage.
     Advance {
-        /// The service.
+        /// The name of the service.
         service: String,
         /// The revision of the item that the decision is based on.
         revision: u64,
@@ -264,8 +264,9 @@
     })
 }
 
-/// Accepts an order unless another rollout is under way. A retried order is acknowledged again. A baseline must exist, so
-/// that proxies that have not received the order yet send no requests to the new version.
+/// Accepts an order unless another rollout is under way, the target has just been reverted, or it gets the requests already.
+/// A retried order is acknowledged again. A baseline must exist, so that proxies that have not received the order yet send
+/// no requests to the new version.
 fn start(
     current: Option<&Rollout>,
     order: &RolloutOrder,
--- a/crates/config-state/src/server.rs
+++ b/crates/config-state/src/server.rs
@@ -31,7 +31,7 @@
 /// One incarnation of a server.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Server {
-    /// Its service.
+    /// The name of its service.
     pub service: String,
     /// The address at which it takes requests.
     pub address: SocketAddrV4,
