--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,5 +1,5 @@
 //! The registry's state machine. It does no I/O: callers pass in link events, calls and the current time, and carry out the
-//! returned [`Output`]s.
+//! [`Output`]s that it appends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -115,7 +115,9 @@
     partial: PartialUpdate,
     /// The lease during which the configuration here counts as current.
     lease: FreshnessLease,
+    /// The hello messages of the linked peers.
     peers: BTreeMap<ConnectionId, Hello>,
+    /// The linked stores.
     stores: BTreeMap<ConnectionId, StoreLink>,
     /// The status of other registries, by IP address.
     registries: BTreeMap<String, PeerRegistry>,
@@ -307,7 +309,7 @@
         if let (true, Majority::Lost(since)) = (has_majority, self.majority) {
             self.majority = Majority::Reached(now);
             self.postpone_losses(now, now - since);
-            // The proxies wait for this status.
+            // Sends the status now, not at the next interval: the proxies wait for it.
             self.next_status = now;
         }
     }
--- a/crates/registry/src/registry/endpoints.rs
+++ b/crates/registry/src/registry/endpoints.rs
@@ -49,6 +49,7 @@
     last_heartbeats: BTreeMap<String, LastHeartbeat>,
     /// Lost servers, and when this registry learned of it.
     lost: BTreeMap<String, Micros>,
+    /// Server ids by the key hash of their items, by which other registries report heartbeats.
     ids_by_key_hash: BTreeMap<u64, String>,
     /// Pending deregistrations, by the number of the replication request.
     pending: BTreeMap<u64, PendingDeregistration>,
@@ -171,7 +172,7 @@
 
     /// Replicates a draining or deregistered server's item to the other registries. If it were known here alone, a failure of
     /// this machine would lose it, and proxies would go on sending requests to a server that was allowed to stop. So the call is
-    /// acknowledged once another registry that reaches a majority of the core has it.
+    /// acknowledged once another registry that presumes to reach a majority of the core has it, or at once without other voters.
     fn replicate(&mut self, now: Micros, call: u64, key: &Key, out: &mut Vec<Output>) {
         if self.voters.len() <= 1 {
             self.endpoints.replicated.insert(key.name.clone());
--- a/crates/registry/src/registry/freshness.rs
+++ b/crates/registry/src/registry/freshness.rs
@@ -32,7 +32,9 @@
 /// the store's, and delays on the link or stalls do not extend it.
 #[derive(Debug)]
 pub(super) struct FreshnessLease {
+    /// The last confirmation of each linked store.
     confirmations: BTreeMap<ConnectionId, Confirmation>,
+    /// When the lease expires.
     until: Micros,
     /// Whether the last report to the proxies said that the lease was valid.
     reported_valid: bool,
--- a/crates/registry/src/registry/messages.rs
+++ b/crates/registry/src/registry/messages.rs
@@ -221,7 +221,7 @@
         out.push(Output::Send(connection, PeerMessage::LeaseGrants(grants)));
     }
 
-    /// Takes part in an anti-entropy exchange: merges the items, and answers the parts that differ.
+    /// Takes part in an anti-entropy exchange: merges the items, and answers the parts unless none of the items was new.
     fn on_sync(
         &mut self,
         connection: ConnectionId,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Merges items that another registry replicates, and acknowledges them.
+    /// Merges items that another registry replicates, and acknowledges them if a majority of the core is presumed to be reached.
     fn on_replicate(
         &mut self,
         now: Micros,
--- a/crates/registry/src/registry/processes.rs
+++ b/crates/registry/src/registry/processes.rs
@@ -51,7 +51,8 @@
     /// Proxies that have fallen silent, and when their last message arrived; for those that only the machine's store knew, when
     /// its list arrived.
     pub missing: BTreeMap<String, Micros>,
-    /// The proxies that the machine's store has recorded; `None` until it has sent the list of an earlier process.
+    /// The proxies that this process last sent to the machine's store; `None` until the store has sent the list of an earlier
+    /// process.
     pub stored: Option<Vec<String>>,
     /// The position that was last sent to each proxy.
     positions: BTreeMap<ConnectionId, ProxyPosition>,
--- a/crates/registry/src/registry/quota_duty.rs
+++ b/crates/registry/src/registry/quota_duty.rs
@@ -26,6 +26,7 @@
 /// A slice of tenants whose duty this registry has acquired.
 #[derive(Debug, Clone, Copy, Default)]
 struct AcquiredSlice {
+    /// Identifies this acquisition: units that were leased under another token are not put back.
     fencing_token: u64,
     /// When the duty was acquired.
     acquisition_time: Micros,
@@ -38,7 +39,7 @@
     logged_slices: usize,
     /// The last acquisition of each slice, by its index.
     acquired: BTreeMap<usize, AcquiredSlice>,
-    /// By the tenant's name.
+    /// The allocators of tenants, by name.
     allocators: BTreeMap<String, QuotaAllocator>,
     /// When each tenant was first seen; 0 if that was before the configuration here was complete.
     first_seen: BTreeMap<String, Micros>,
--- a/crates/registry/src/registry/replication.rs
+++ b/crates/registry/src/registry/replication.rs
@@ -27,10 +27,10 @@
 /// Whether the configuration here may contain only a part of an operator's update.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum PartialUpdate {
-    /// No items arrived by anti-entropy since it was last equal to that of a store.
+    /// No configuration items arrived by anti-entropy since it was last equal to that of a store.
     #[default]
     No,
-    /// Anti-entropy has brought items since this time.
+    /// Anti-entropy has brought configuration items since then, the first of them at this time.
     Since(Micros),
 }
 
@@ -51,8 +51,8 @@
 }
 
 impl Registry {
-    /// Merges received items, and relays the new ones to peers that the sender does not reach. Returns whether there were any new
-    /// ones.
+    /// Merges received items, and relays the new ones to peers that the sender does not reach, except configuration items that
+    /// anti-entropy brought. Returns whether there were any new ones.
     pub(super) fn merge(
         &mut self,
         from: ConnectionId,
@@ -123,7 +123,8 @@
         peer.role == Role::Registry && is_settled && self.voters.contains(&peer.ip)
     }
 
-    /// A peer has sent the digests of its items: requests a sync of each realm that differs.
+    /// A peer has sent the digests of its items: requests a sync of each realm that differs, unless an exchange is in progress or
+    /// the realm is withheld from the peer.
     pub(super) fn on_digests(
         &mut self,
         connection: ConnectionId,
@@ -186,13 +187,14 @@
         if !self.is_complete && has_equal {
             log::info!("configuration is complete: {} items", self.config_items().len());
             self.is_complete = true;
-            // The proxies wait for this status.
+            // Sends the status now, not at the next interval: the proxies wait until it says that the configuration is complete.
             self.next_status = self.last_tick;
         }
         self.lease.compare(digest);
     }
 
-    /// Starts to withhold the configuration from proxies, unless it is already.
+    /// Notes that the configuration may be partial, and since when: it is withheld from proxies until it equals that of a store,
+    /// for at most [`WITHHOLD_LIMIT`] from the first note.
     fn begin_partial_update(&mut self) {
         if self.partial == PartialUpdate::No {
             self.partial = PartialUpdate::Since(self.last_tick);
--- a/crates/registry/src/registry/rollout_duty.rs
+++ b/crates/registry/src/registry/rollout_duty.rs
@@ -29,7 +29,7 @@
 /// A server of the target version during a rollout.
 #[derive(Debug, Clone, Copy)]
 struct TargetServer {
-    /// When its warm-up (slow start) ends.
+    /// When its warm-up (slow start) ends, counted from when this registry first saw it.
     warm_at: Micros,
 }
 
@@ -40,6 +40,7 @@
     /// The revision of the rollout's item.
     revision: u64,
     fleet_state: FleetState,
+    /// The ready servers of the target version, by id.
     target_servers: BTreeMap<String, TargetServer>,
 }
 
@@ -48,7 +49,9 @@
 pub(super) struct RolloutDuty {
     /// Rollouts in progress, by service.
     tracked: BTreeMap<String, TrackedRollout>,
+    /// When the tracked rollouts are updated next.
     next_update: Micros,
+    /// When services are next checked for a usable baseline.
     next_baselines: Micros,
     /// The connections of peers that support rollout items.
     rollout_capable_peers: BTreeSet<ConnectionId>,
@@ -88,7 +91,8 @@
 }
 
 impl Registry {
-    /// Forwards an operator's order of a rollout to a store. If the service has no baseline, proposes one and rejects the order.
+    /// Forwards an operator's order of a rollout to a store. If the service has no baseline, rejects the order and
+    /// proposes a baseline if the conditions for that are met.
     pub(super) fn start_rollout(
         &mut self,
         now: Micros,
@@ -305,8 +309,8 @@
         due
     }
 
-    /// Handles the rollout reports of a proxy. For rollouts whose duty this registry holds, the answer permits the proxy to send
-    /// a share of its requests to the target version.
+    /// Handles the rollout reports of a proxy. Answers with the permits that the deciders give, for rollouts whose duty this
+    /// registry holds while it is current. A permit lets the proxy send a share of its requests to the target version.
     pub(super) fn on_rollout_reports(
         &mut self,
         now: Micros,
@@ -322,7 +326,8 @@
         }
     }
 
-    /// Records a report, and returns a permit if this registry holds the duty and is current.
+    /// Records a report if it is for the current order. Returns the permit that the decider gives, if this registry holds the
+    /// duty and is current.
     fn on_rollout_report(
         &mut self,
         now: Micros,
--- a/crates/registry/src/registry/status.rs
+++ b/crates/registry/src/registry/status.rs
@@ -18,7 +18,7 @@
     pub stalls: u64,
     /// Lease requests of proxies, counted per tenant.
     pub lease_requests: u64,
-    /// Lease requests for tenants whose duty is held elsewhere.
+    /// Lease requests for tenants whose duty is not held here.
     pub lease_requests_misdirected: u64,
     /// Quota units granted in leases.
     pub units_leased: u64,
--- a/crates/registry/src/run.rs
+++ b/crates/registry/src/run.rs
@@ -72,8 +72,10 @@
     /// The number of the last call.
     last_call: Cell<u64>,
     call_counts: RefCell<CallCounts>,
+    /// The zero point of the state machine's clock.
     started: Instant,
     is_shutting_down: Cell<bool>,
+    /// A reference to this value, for [`CallGuard`].
     this: Weak<RunningRegistry>,
 }
 
--- a/crates/registry/tests/rollout_calls.rs
+++ b/crates/registry/tests/rollout_calls.rs
@@ -72,7 +72,8 @@
         sim
     }
 
-    /// With a server of a version, after five seconds: the registry has acquired the duties, and the baseline is set.
+    /// Creates a simulation with one server of `version` and advances it by 50 ticks (5 s), by when the registry has acquired
+    /// the duties and the baseline is set.
     fn with_server(version: &str) -> Simulation {
         let mut sim = Simulation::new();
         for peer in [STORE, PROXY, PEER] {
