--- a/crates/store-redis/src/ledger.rs
+++ b/crates/store-redis/src/ledger.rs
@@ -1,82 +1,82 @@
-//! What this node holds in each count, and what a call must write so that an answer that is lost changes nothing.
-//! No I/O, no clock: time is passed in.
+//! This node's share of each counter, and the idempotent writes that add to it. No I/O and no clock: the caller
+//! passes the time in.
 //!
-//! A count is a hash. Each node writes fields of its own alone, and the count's total is the sum of all fields. A
-//! call writes *all* of the node's fields with the values that they have from now on, so that to write them twice is
-//! to write them once, and what a store has lost comes back with the node's next call.
+//! A counter is a Redis hash. Each node writes only its own fields, and the counter's total is the sum of all fields.
+//! Every call writes *all* of the node's fields with their new absolute values, so a call can be repeated after a lost
+//! reply, and data that the store has lost is restored by the node's next call.
 //!
-//! What remains is order. A call without an answer may be carried out at any later time, after calls made since:
-//! it must not set a field back. So a field that is out with one value takes no other until all answers to it have
-//! come; a call made meanwhile changes a field that is not out, or a new one. A field that is out on a connection
-//! that has ended takes no other value ever.
+//! Calls can be executed out of order: one without a reply may be executed after calls made later, and must not reset
+//! a field to an older value. A field with a write in flight therefore keeps its value until all those writes have
+//! been answered; a call made meanwhile changes a field without a write in flight, or adds a field. A field whose
+//! write was in flight when its connection ended is never changed again.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use mountbend::interface::{CountName, Micros};
 
-/// Parts of a unit that amounts are counted in. Danger: a sum of floats drifts; a million leases and give-backs
-/// would leave parts of units that nobody holds.
-pub const PARTS: f64 = 1e6;
-/// The most that one count may hold of a node, in parts, either way: sums of it stay exact as whole numbers and as
-/// floats.
-const MOST: f64 = 4e15;
+/// Amounts are stored as integers, in parts of a unit. A sum of floats would drift: after a million leases and
+/// returns, the counter would contain fractions of units that no node holds.
+pub const PARTS_PER_UNIT: f64 = 1e6;
+/// The largest absolute value of one node's share of a counter, in parts. Sums up to this value are exact both as
+/// integers and as floats.
+const MAX_PARTS: f64 = 4e15;
 
-/// One value that a call writes: the field's number among the node's own, and the value in parts of a unit.
+/// One field that a call writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Write {
-    /// The field.
+    /// The field's index among this node's fields.
     pub field: u32,
-    /// Its value.
+    /// The new value, in parts of a unit.
     pub parts: i64,
 }
 
-/// A call that is out. It ends exactly once, through [`Ledger::end`].
+/// A call in flight. It is completed exactly once, by [`Ledger::end`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct Ticket {
     name: CountName,
-    /// How many fields the node had then: a call writes them all.
-    fields: usize,
+    /// The number of fields that the call writes: all that the node had when it was made.
+    field_count: usize,
 }
 
-/// How a call that is out has ended.
+/// How a call in flight ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// It has been answered, by a total or a refusal: it will not be carried out any more.
+    /// The server replied with a total or an error: the call will not be executed later.
     Answered,
-    /// Its connection has ended: it may be carried out at any time to come.
+    /// No reply came, so the call may still be executed at any later time.
     Lost,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
 struct Field {
     parts: i64,
-    /// Calls without an answer that write it.
-    out: u32,
-    /// One of them was lost.
-    fixed: bool,
+    /// The number of calls in flight that write this field.
+    in_flight: u32,
+    /// A call that writes this field was lost: its value must never change again.
+    frozen: bool,
 }
 
 #[derive(Debug, Default)]
 struct Count {
-    /// What this node is to hold in all.
+    /// This node's share: the sum that its fields are to have.
     parts: i64,
-    /// What it is to hold beyond whole parts, under half a part.
-    rest: f64,
+    /// The rounding remainder of the share, at most half a part.
+    remainder: f64,
     fields: Vec<Field>,
 }
 
-/// All counts that this node holds something of.
+/// This node's share of every counter that it has added to.
 #[derive(Debug, Default)]
 pub struct Ledger {
     counts: BTreeMap<CountName, Count>,
-    /// When counts may be forgotten, in the order in which they came; once for each.
-    ends: VecDeque<(Micros, CountName)>,
+    /// When each counter may be removed, in order of creation; one entry per counter.
+    expiries: VecDeque<(Micros, CountName)>,
 }
 
 impl Ledger {
-    /// Adds an amount to a count: what a call is to write, and the call's ticket. `None` if the amount is no number
-    /// or past what a count may hold; nothing has changed then. A count is kept until twice its life is over, by
-    /// when no call of it can be out any more.
+    /// Adds an amount to a counter. Returns the fields to write and the ticket of the call, or `None`, with nothing
+    /// changed, if the amount is not finite or the share would be out of range. A counter is kept for twice its
+    /// lifetime `keep_for`, after which none of its calls can be in flight.
     pub fn add(
         &mut self,
         now: Micros,
@@ -84,20 +84,20 @@
         amount: f64,
         keep_for: Micros,
     ) -> Option<(Vec<Write>, Ticket)> {
-        self.forget(now);
-        let held = self.counts.get(&name).map_or((0, 0.0), |c| (c.parts, c.rest));
-        let exact = amount * PARTS + held.1;
+        self.remove_expired(now);
+        let current = self.counts.get(&name).map_or((0, 0.0), |c| (c.parts, c.remainder));
+        let exact = amount * PARTS_PER_UNIT + current.1;
         let parts = exact.round();
-        if !parts.is_finite() || (parts + held.0 as f64).abs() > MOST {
+        if !parts.is_finite() || (parts + current.0 as f64).abs() > MAX_PARTS {
             return None;
         }
-        let ends = &mut self.ends;
+        let expiries = &mut self.expiries;
         let count = self.counts.entry(name).or_insert_with(|| {
-            ends.push_back((now.saturating_add(keep_for.saturating_mul(2)), name));
+            expiries.push_back((now.saturating_add(keep_for.saturating_mul(2)), name));
             Count::default()
         });
-        (count.parts, count.rest) = (held.0 + parts as i64, exact - parts);
-        let free = count.fields.iter().position(|f| f.out == 0 && !f.fixed).unwrap_or_else(|| {
+        (count.parts, count.remainder) = (current.0 + parts as i64, exact - parts);
+        let free = count.fields.iter().position(|f| f.in_flight == 0 && !f.frozen).unwrap_or_else(|| {
             count.fields.push(Field::default());
             count.fields.len() - 1
         });
@@ -105,49 +105,49 @@
             count.fields.iter().enumerate().filter(|&(i, _)| i != free).map(|(_, f)| f.parts).sum();
         count.fields[free].parts = count.parts - others;
         let writes = (0u32..).zip(&mut count.fields).map(|(field, f)| {
-            f.out += 1;
+            f.in_flight += 1;
             Write { field, parts: f.parts }
         });
         let writes: Vec<Write> = writes.collect();
-        let fields = writes.len();
-        Some((writes, Ticket { name, fields }))
+        let field_count = writes.len();
+        Some((writes, Ticket { name, field_count }))
     }
 
-    /// Takes back what a call added: the next call of this count writes the node's fields without it. For what the
-    /// node has not used alone. Danger: a give-back that was refused may stand in calls made since; to undo that
-    /// too would leave the count under what the node holds until it calls again.
-    pub fn take_back(&mut self, name: CountName, amount: f64) {
+    /// Subtracts what a call added: the next call for this counter writes the node's fields without it. Only for leased
+    /// units that the node has not used. A rejected return must not be reverted: calls made since may include it, and
+    /// reverting it would leave the counter below what the node holds until its next call.
+    pub fn revert(&mut self, name: CountName, amount: f64) {
         let Some(count) = self.counts.get_mut(&name) else { return };
-        let exact = count.rest - amount * PARTS;
+        let exact = count.remainder - amount * PARTS_PER_UNIT;
         if exact.is_finite() {
             count.parts += exact.round() as i64;
-            count.rest = exact - exact.round();
+            count.remainder = exact - exact.round();
         }
     }
 
-    /// A call that was out has ended.
+    /// Completes a call in flight.
     pub fn end(&mut self, ticket: Ticket, end: End) {
         let Some(count) = self.counts.get_mut(&ticket.name) else { return };
-        for f in count.fields.iter_mut().take(ticket.fields) {
-            f.out = f.out.saturating_sub(1);
-            f.fixed |= end == End::Lost;
+        for f in count.fields.iter_mut().take(ticket.field_count) {
+            f.in_flight = f.in_flight.saturating_sub(1);
+            f.frozen |= end == End::Lost;
         }
     }
 
-    /// How many counts are held.
+    /// The number of counters.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether none is held.
+    /// Whether there are no counters.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// Danger: names are ever new, and what is held of each would grow without end.
-    fn forget(&mut self, now: Micros) {
-        while let Some(&(_, name)) = self.ends.front().filter(|&&(until, _)| until < now) {
-            self.ends.pop_front();
+    /// Removes expired counters. New names keep being created, so the map would grow without bound otherwise.
+    fn remove_expired(&mut self, now: Micros) {
+        while let Some(&(_, name)) = self.expiries.front().filter(|&&(expiry, _)| expiry < now) {
+            self.expiries.pop_front();
             self.counts.remove(&name);
         }
     }
--- a/crates/store-redis/src/lib.rs
+++ b/crates/store-redis/src/lib.rs
@@ -1,5 +1,5 @@
-//! Redis as shared store of the quota counts: what is written ([`ledger`]), where ([`server`]), and the calls
-//! ([`store`]). See `docs/design/redis.md`.
+//! Redis as the shared store of the quota counters: the values to write ([`ledger`]), the server's settings
+//! ([`server`]), and the connections and calls ([`store`]). See `docs/design/redis.md`.
 
 pub mod ledger;
 pub mod server;
--- a/crates/store-redis/src/server.rs
+++ b/crates/store-redis/src/server.rs
@@ -1,4 +1,4 @@
-//! Where a Redis is and who we are to it: its URL, the password's source, the keys' prefix.
+//! The settings of a Redis server: URL, credentials, key prefix and connections.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -7,18 +7,18 @@
 use redis::{ProtocolVersion, RedisConnectionInfo};
 use serde::Deserialize;
 
-/// The port of a Redis whose URL names none.
-const PORT: u16 = 6379;
-/// Databases of a Redis as it is shipped; one may be set up with more.
-const DATABASES: i64 = 16_384;
+/// The port if the URL names none.
+const DEFAULT_PORT: u16 = 6379;
+/// Exclusive upper bound of the database number in a URL. A Redis server can be configured with more databases.
+const DATABASE_LIMIT: i64 = 16_384;
 
-/// What an operator says of a Redis.
+/// An operator's settings for a Redis server.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// `redis://HOST[:PORT][/DATABASE]`. No user and no password: a file of settings is read by many.
+    /// `redis://HOST[:PORT][/DATABASE]`. User and password are rejected here, since settings files are widely readable.
     pub url: String,
-    /// The user, if there is a password; `default` if not said.
+    /// The user name, only valid with a password. Without it, Redis uses `default`.
     #[serde(default)]
     pub user: Option<String>,
     /// A file whose first line is the password.
@@ -27,13 +27,13 @@
     /// An environment variable that holds the password.
     #[serde(default)]
     pub password_env: Option<String>,
-    /// What all keys of this installation begin with.
+    /// The prefix of all keys of this installation.
     #[serde(default = "default_prefix")]
     pub prefix: String,
-    /// Connections to it: 1 to 16.
+    /// The number of connections: 1 to 16.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// The version of the protocol: 2 or 3.
+    /// The RESP protocol version: 2 or 3.
     #[serde(default = "default_resp")]
     pub resp: u8,
 }
@@ -50,16 +50,16 @@
     3
 }
 
-/// A setting that can't be used: the key, and what is wanted.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unfit {
-    /// The key, without the table it stands in.
+    /// The key, without the table that it belongs to.
     pub key: &'static str,
-    /// What is wanted.
+    /// What is wrong with its value.
     pub why: String,
 }
 
-/// A Redis, ready to be connected to. Its password is in no text that it can be turned into.
+/// The validated settings of a server, with its password read. The `Debug` output never contains the password.
 #[derive(Clone)]
 pub struct Server {
     /// Host name or address.
@@ -78,38 +78,38 @@
 }
 
 impl Settings {
-    /// The first key that can't be used. Reads no file and no variable.
+    /// Returns the first invalid setting. Reads no file and no environment variable.
     pub fn unfit(&self) -> Option<Unfit> {
-        let no = |key, why: String| Some(Unfit { key, why });
-        if let Err(why) = parts(&self.url) {
-            return no("url", why);
+        let invalid = |key, why: String| Some(Unfit { key, why });
+        if let Err(why) = parse_url(&self.url) {
+            return invalid("url", why);
         }
         if self.password_file.is_some() && self.password_env.is_some() {
-            return no("password_env", "password_file or password_env is wanted, not both".into());
+            return invalid("password_env", "password_file or password_env is wanted, not both".into());
         }
         if self.user.is_some() && self.password_file.is_none() && self.password_env.is_none() {
-            return no("user", "a user is wanted with password_file or password_env alone".into());
+            return invalid("user", "a user is wanted with password_file or password_env alone".into());
         }
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-        if self.prefix.is_empty() || self.prefix.len() > 64 || !self.prefix.chars().all(plain) {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+        if self.prefix.is_empty() || self.prefix.len() > 64 || !self.prefix.chars().all(allowed) {
             let why = format!("1 to 64 of A-Z a-z 0-9 - _ . : are wanted, not {:?}", self.prefix);
-            return no("prefix", why);
+            return invalid("prefix", why);
         }
         if !(1..=16).contains(&self.connections) {
-            return no("connections", format!("1 to 16 is wanted, not {}", self.connections));
+            return invalid("connections", format!("1 to 16 is wanted, not {}", self.connections));
         }
         if !matches!(self.resp, 2 | 3) {
-            return no("resp", format!("2 or 3 is wanted, not {}", self.resp));
+            return invalid("resp", format!("2 or 3 is wanted, not {}", self.resp));
         }
         None
     }
 
-    /// The server these settings name, with its password read.
+    /// Validates the settings and reads the password from its file or environment variable.
     pub fn server(&self) -> Result<Server, Unfit> {
         if let Some(unfit) = self.unfit() {
             return Err(unfit);
         }
-        let (host, port, database) = parts(&self.url).map_err(|why| Unfit { key: "url", why })?;
+        let (host, port, database) = parse_url(&self.url).map_err(|why| Unfit { key: "url", why })?;
         let version = if self.resp == 3 { ProtocolVersion::RESP3 } else { ProtocolVersion::RESP2 };
         let mut login = RedisConnectionInfo::default()
             .set_db(database)
@@ -144,8 +144,8 @@
     }
 }
 
-/// Host, port and database of a URL. What is wrong is told without the URL: it may hold a password.
-fn parts(url: &str) -> Result<(String, u16, i64), String> {
+/// Parses a URL into host, port and database. Errors don't quote the URL, since it may contain a password.
+fn parse_url(url: &str) -> Result<(String, u16, i64), String> {
     const WANTED: &str = "redis://HOST[:PORT][/DATABASE] is wanted";
     let rest = url.strip_prefix("redis://").ok_or(WANTED)?;
     if rest.contains('@') {
@@ -153,33 +153,34 @@
             "{WANTED}, with the user in user and the password in password_file or password_env"
         ));
     }
-    let (place, database) = rest.split_once('/').unwrap_or((rest, ""));
+    let (authority, database) = rest.split_once('/').unwrap_or((rest, ""));
     let database = match database {
         "" => 0,
         digits => digits
             .parse()
             .ok()
-            .filter(|d| (0..DATABASES).contains(d))
-            .ok_or_else(|| format!("{WANTED}, with a database from 0 to {}", DATABASES - 1))?,
+            .filter(|d| (0..DATABASE_LIMIT).contains(d))
+            .ok_or_else(|| format!("{WANTED}, with a database from 0 to {}", DATABASE_LIMIT - 1))?,
     };
-    // An IPv6 address stands in brackets (RFC 3986, section 3.2.2).
-    let (host, port) = match place.strip_prefix('[').and_then(|p| p.split_once(']')) {
+    // An IPv6 address is enclosed in brackets (RFC 3986, section 3.2.2).
+    let (host, port) = match authority.strip_prefix('[').and_then(|p| p.split_once(']')) {
         Some((host, port)) => {
             host.parse::<IpAddr>().map_err(|_| WANTED)?;
             (host, port.strip_prefix(':').or(port.is_empty().then_some("")))
         }
-        None => place.split_once(':').map_or((place, Some("")), |(host, port)| (host, Some(port))),
+        None => authority.split_once(':').map_or((authority, Some("")), |(host, port)| (host, Some(port))),
     };
     let port = match port.ok_or(WANTED)? {
-        "" => PORT,
+        "" => DEFAULT_PORT,
         digits => digits
             .parse()
             .ok()
             .filter(|&p| p > 0)
             .ok_or_else(|| format!("{WANTED}, with a port from 1 to 65535"))?,
     };
-    let fit = !host.is_empty() && host.chars().all(|c| c.is_ascii_alphanumeric() || ".-:_".contains(c));
-    if fit {
+    let is_valid_host =
+        !host.is_empty() && host.chars().all(|c| c.is_ascii_alphanumeric() || ".-:_".contains(c));
+    if is_valid_host {
         Ok((host.to_string(), port, database))
     } else {
         Err(WANTED.into())
@@ -203,7 +204,7 @@
     }
 
     #[test]
-    fn a_url_names_host_port_and_database() {
+    fn urls_are_parsed_into_host_port_and_database() {
         let rows = [
             ("redis://counts", ("counts", 6379, 0)),
             ("redis://127.0.0.1:7000", ("127.0.0.1", 7000, 0)),
@@ -212,12 +213,12 @@
             ("redis://[::1]", ("::1", 6379, 0)),
         ];
         for (url, (host, port, database)) in rows {
-            assert_eq!(parts(url), Ok((host.to_string(), port, database)), "{url}");
+            assert_eq!(parse_url(url), Ok((host.to_string(), port, database)), "{url}");
         }
     }
 
     #[test]
-    fn what_is_wrong_is_told_by_key_and_never_tells_a_secret() {
+    fn invalid_settings_are_reported_by_key_without_the_password() {
         let rows = [
             ("http://counts", "redis://HOST"),
             ("redis://", "redis://HOST"),
@@ -251,7 +252,7 @@
     }
 
     #[test]
-    fn a_password_is_in_no_text() {
+    fn debug_output_does_not_contain_the_password() {
         let file = std::env::temp_dir().join(format!("pinerelay-password-{}", std::process::id()));
         std::fs::write(&file, "hunter2\nand more\n").expect("a file");
         let mut with = settings("redis://counts");
