--- a/crates/credit/src/account.rs
+++ b/crates/credit/src/account.rs
@@ -1,8 +1,8 @@
-//! One tenant's account at the core: refills, leased blocks, and what became of them.
+//! One tenant's account at the core: refills, and leased blocks with their debits and ends.
 //!
-//! It is a set of records: a refill by its id, a block by its name. Each merges with another replica of itself in any order and any
-//! number of times (a known batch counts once, an end only advances), so replicas at several stores need no log and no leader. Only
-//! the holder of the fencing token leases and settles, and it merges the replicas of a majority first.
+//! It is a set of records: refills and blocks, each by its id. Merging two replicas of a record is commutative and idempotent (a
+//! known batch counts once, an end only advances), so replicas at several stores need no log and no leader. Only the holder of the
+//! fencing token leases and settles, after it has merged the replicas of a majority.
 
 use std::collections::BTreeMap;
 
@@ -12,53 +12,53 @@
 use crate::messages::{BlockGrant, BlockId, BlockRequest, DebitReport, Holder, KnownDebits};
 use crate::{is_injected, Credits, Defect, Micros};
 
-/// How long a block may be spent, from when it was requested.
+/// How long a block may be spent, counted from its request.
 pub const BLOCK_LIFETIME: Micros = 1_000_000;
-/// How long after its lifetime, counted from when it was leased, a block is settled: all reports have arrived by then.
+/// A block is settled this long after its lifetime (counted from its lease), when all reports are expected to have arrived.
 pub const SETTLEMENT_MARGIN: Micros = 300_000;
-/// A proxy may spend this part of a block (and one request) ahead of what is acknowledged.
-const UNACKNOWLEDGED_PART: Credits = 8;
+/// A proxy may spend one in this many parts of a block, but at least one request, ahead of what is acknowledged.
+const UNACKNOWLEDGED_DIVISOR: Credits = 8;
 
-/// How a block ended. The order is that in which ends replace each other.
+/// How a block ended. A later variant replaces an earlier one when replicas merge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum BlockEnd {
-    /// Its lifetime is over without its holder's last report. No more than `ceiling` was spent.
+    /// Its lifetime is over and its holder's last report is missing. At most `ceiling` was spent.
     Lost {
-        /// Micro-credits.
+        /// The most that can have been spent, in micro-credits.
         ceiling: Credits,
     },
-    /// Its holder reported that it debited so much, and no more.
+    /// Its holder sent the last report, and the rest was returned.
     Returned {
-        /// Micro-credits.
+        /// Micro-credits debited in all.
         debited: Credits,
     },
-    /// An operator decided on what was unsettled.
+    /// An operator decided how much of the unsettled amount is charged.
     Resolved {
-        /// Micro-credits charged.
+        /// Micro-credits charged in all: settled before, and by the operator.
         debited: Credits,
     },
 }
 
-/// A block of credit.
+/// A block of credit that is leased to one proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Block {
-    /// Its name.
+    /// Its id.
     pub id: BlockId,
-    /// Who may spend it.
+    /// The proxy process that may spend it.
     pub holder: Holder,
-    /// Who keeps its debits.
+    /// The proxy processes that keep copies of its debits.
     pub backups: Vec<Holder>,
-    /// Micro-credits.
+    /// Its size in micro-credits.
     pub amount: Credits,
-    /// Its holder may spend up to this, in micro-credits, as far as the core knows.
+    /// The highest ceiling known to the core: how many micro-credits of it the holder may spend.
     pub ceiling: Credits,
-    /// The debits that the core knows.
+    /// The debits known to the core.
     pub debits: KnownDebits,
-    /// How it ended.
+    /// How it ended; `None` while it is leased.
     pub end: Option<BlockEnd>,
 }
 
-/// What became of a block's micro-credits. The sum of the parts is the block's amount.
+/// A block's micro-credits by state. The sum of the parts is the block's amount.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct BlockParts {
     leased: Credits,
@@ -82,7 +82,7 @@
                 BlockParts { settled: debited, returned: self.amount - debited, ..BlockParts::default() }
             }
             Some(BlockEnd::Lost { ceiling }) => {
-                // A report that arrives late settles what was unsettled, and never what was returned.
+                // A late report settles unsettled micro-credits, but never those that were returned.
                 let settled = debited.min(ceiling);
                 let returned = self.amount - ceiling;
                 BlockParts { leased: 0, settled, unsettled: ceiling - settled, returned }
@@ -94,56 +94,56 @@
     }
 }
 
-/// What is written to the stores, and merged there.
+/// A part of the account, as it is written to the stores and merged there.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Record {
     /// A refill.
     Refill {
-        /// Its id, which its sender chose.
+        /// Its id, chosen by the sender, which makes retries idempotent.
         id: String,
-        /// Micro-credits.
+        /// The amount in micro-credits.
         amount: Credits,
     },
     /// A block.
     Block(Block),
-    /// The account was taken over. A block of an earlier token after `last` was at no majority, so it was never granted.
+    /// The account was taken over. Blocks of earlier tokens after `last` never reached a majority, so they were never granted.
     Takeover {
         /// The new fencing token.
         fencing_token: u64,
-        /// The last block that a majority knew.
+        /// The last granted block of an earlier token.
         last: Option<BlockId>,
     },
 }
 
-/// Why a call is rejected.
+/// Why an operation on the account is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum AccountError {
-    /// Less credit is left than is needed.
-    #[error("there is no credit")]
+    /// Less credit is left than one request needs.
+    #[error("insufficient credit")]
     Exhausted,
-    /// There is a refill of this id with another amount.
-    #[error("a refill of this id has another amount")]
+    /// A refill with this id exists with a different amount.
+    #[error("a refill with this id has a different amount")]
     RefillConflict,
     /// The balance would overflow.
-    #[error("the balance is more than can be counted")]
+    #[error("the balance would overflow")]
     Overflow,
-    /// Less than that is unsettled of the block, or nothing.
-    #[error("not so much is unsettled there")]
+    /// The block is unknown, has nothing unsettled, or less than the amount to be charged.
+    #[error("the amount exceeds what is unsettled of the block")]
     NotUnsettled,
 }
 
-/// Totals in micro-credits: `refilled` is always the sum of the others.
+/// Totals in micro-credits: `refilled` is the sum of the others, except in a replica that lacks a refill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Totals {
     /// All refills.
     pub refilled: Credits,
-    /// What may be leased.
+    /// Available for leases.
     pub balance: Credits,
     /// Leased to proxies.
     pub leased: Credits,
     /// Debited.
     pub settled: Credits,
-    /// Not known whether it was debited.
+    /// Reserved, as it is unknown whether it was debited.
     pub unsettled: Credits,
 }
 
@@ -152,11 +152,11 @@
 pub enum StatementReason {
     /// A refill of this id.
     Refill(String),
-    /// Leased in this block.
+    /// Leased as this block.
     Leased(BlockId),
     /// Debited from this block.
     Settled(BlockId),
-    /// Returned from this block. It changes nothing: it is not leased any more.
+    /// Returned from this block. It doesn't change the balance: the returned part no longer counts as leased.
     Returned(BlockId),
     /// Reserved, as it is not known whether it was debited.
     Unsettled(BlockId),
@@ -165,11 +165,11 @@
 /// A line of a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatementLine {
-    /// Why.
+    /// The reason of the change.
     pub reason: StatementReason,
-    /// Micro-credits that it is about.
+    /// The amount in micro-credits.
     pub amount: Credits,
-    /// By how much it changes the balance, in micro-credits. The sum of all lines is the balance.
+    /// The change of the balance in micro-credits. The sum over all lines is the balance.
     pub change: i128,
 }
 
@@ -187,19 +187,19 @@
     }
 }
 
-/// The account.
+/// One replica of a tenant's account.
 #[derive(Debug, Clone, Default)]
 pub struct Account {
     refills: BTreeMap<String, Credits>,
     blocks: BTreeMap<BlockId, Block>,
-    /// When this process first heard of each block without an end.
+    /// When this process first learned of each block that has not ended.
     open_since: BTreeMap<BlockId, Micros>,
-    /// By fencing token: the last block that a majority knew when the account was taken over.
+    /// By fencing token: the last granted block when the account was taken over under it.
     takeovers: BTreeMap<u64, Option<BlockId>>,
 }
 
 impl Account {
-    /// Takes a refill. Returns the record to write; `None` if it is known already.
+    /// Adds a refill. Returns the record to write, or `None` if the refill is known already.
     ///
     /// # Errors
     /// [`AccountError::RefillConflict`], [`AccountError::Overflow`].
@@ -213,7 +213,7 @@
             Some(_) => return Err(AccountError::RefillConflict),
             None => {}
         }
-        // Debits are reported as signed numbers.
+        // Debits are reported as `i64`, so the total must fit into one.
         let total = self.totals().refilled.checked_add(amount);
         if total.is_none_or(|total| i64::try_from(total).is_err()) {
             return Err(AccountError::Overflow);
@@ -222,7 +222,8 @@
         Ok(Some(Record::Refill { id: id.into(), amount }))
     }
 
-    /// Merges a record of another replica. Of two refills of one id, which no store accepts, the greater one wins everywhere.
+    /// Merges a record of another replica. If two refills have the same id, which no store accepts, the greater one wins in every
+    /// replica.
     pub fn merge(&mut self, now: Micros, record: Record) {
         match record {
             Record::Refill { id, amount } => {
@@ -246,7 +247,7 @@
         }
     }
 
-    /// All records, for another replica.
+    /// All records, to be merged into another replica.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         let refills = self.refills.iter().map(|(id, &amount)| Record::Refill { id: id.clone(), amount });
         let takeovers =
@@ -254,8 +255,8 @@
         refills.chain(takeovers).chain(self.blocks.values().cloned().map(Record::Block))
     }
 
-    /// This process takes the account over under a new fencing token. It has merged the replicas of a majority of the stores, each
-    /// of which accepts nothing under an earlier token from when it handed its replica over. The records are to be written to a
+    /// Takes the account over under a new fencing token. The caller must have merged the replicas of a majority of the stores, and
+    /// each of these must reject writes under earlier tokens since it sent its replica. The returned records must be written to a
     /// majority before the first lease.
     pub fn take_over(&mut self, fencing_token: u64) -> Vec<Record> {
         let earlier = self.blocks.range(..BlockId { fencing_token, number: 0 });
@@ -264,7 +265,7 @@
         self.records().collect()
     }
 
-    /// Whether a block was at no majority when the account was taken over, so that it was never granted.
+    /// Whether a block had not reached a majority when the account was taken over, so that it was never granted.
     fn is_void(&self, id: BlockId) -> bool {
         self.takeovers.range(id.fencing_token + 1..).any(|(_, last)| *last < Some(id))
     }
@@ -273,12 +274,12 @@
         self.blocks.values().filter(|block| !self.is_void(block.id)).map(|block| (block, block.parts()))
     }
 
-    /// Leases a block under a fencing token that is held now: as much as is wanted where there is plenty, and no more than one
-    /// request needs where little is left for so many proxies. It is granted, and another one leased, once the record is at a
-    /// majority.
+    /// Leases a block under the current fencing token: the wanted amount, but no more than half of the balance divided by the number
+    /// of proxies, and at least what one request needs. The caller may send the grant, and lease another block, only once the
+    /// record is at a majority.
     ///
     /// # Errors
-    /// [`AccountError::Exhausted`]: there is not even what is needed.
+    /// [`AccountError::Exhausted`]: the balance is below what is needed.
     pub fn lease(
         &mut self,
         now: Micros,
@@ -293,9 +294,9 @@
         if balance < needed {
             return Err(AccountError::Exhausted);
         }
-        let fair_part = balance / (2 * proxies.max(1) as Credits);
-        let amount = request.wanted.max(needed).min(fair_part.max(needed));
-        let ceiling = (amount / UNACKNOWLEDGED_PART).max(needed);
+        let fair_share = balance / (2 * proxies.max(1) as Credits);
+        let amount = request.wanted.max(needed).min(fair_share.max(needed));
+        let ceiling = (amount / UNACKNOWLEDGED_DIVISOR).max(needed);
         let id = self.next_block_id(fencing_token);
         let block = Block {
             id,
@@ -318,7 +319,8 @@
         last.map_or(first, |(last, _)| BlockId { fencing_token, number: last.number + 1 })
     }
 
-    /// A proxy has reported on a block. The record is to be written, and the report acknowledged once it is at a majority.
+    /// Applies a proxy's report. Returns the record to write; the report may be acknowledged once that is at a majority. `None` if
+    /// the block is unknown.
     pub fn apply_report(&mut self, report: &DebitReport) -> Option<Record> {
         let block = self.blocks.get_mut(&report.block)?;
         report.batches.iter().for_each(|&batch| block.debits.add(batch));
@@ -330,15 +332,15 @@
         Some(Record::Block(block.clone()))
     }
 
-    /// Blocks whose lifetime is over for certain without a last report of their holders: their backups are to be queried.
+    /// Blocks whose lifetime and settlement margin have passed without their holders' last reports: their backups are to be queried.
     pub fn expired_blocks(&self, now: Micros) -> impl Iterator<Item = &Block> {
         let is_over = move |since: Micros| now >= since + BLOCK_LIFETIME + SETTLEMENT_MARGIN;
         let expired = self.open_since.iter().filter(move |(_, &since)| is_over(since));
         expired.filter(|(id, _)| !self.is_void(**id)).filter_map(|(id, _)| self.blocks.get(id))
     }
 
-    /// Settles such a block by what its backups keep: the debits, and the ceiling if enough backups answered that nothing
-    /// acknowledged can be missing. Without a ceiling all that is not known as debited stays unsettled.
+    /// Settles an expired block from its backups' copies: the debits, and the ceiling if enough backups answered that no acknowledged
+    /// report can be missing. Without a ceiling, everything that is not known to be debited stays unsettled.
     pub fn settle(&mut self, id: BlockId, debits: &KnownDebits, ceiling: Option<Credits>) -> Option<Record> {
         let block = self.blocks.get_mut(&id)?;
         block.debits.merge(debits);
@@ -348,7 +350,7 @@
         Some(Record::Block(block.clone()))
     }
 
-    /// An operator decides on what is unsettled of a block: so many micro-credits of it are charged, the rest is returned.
+    /// Applies an operator's decision on a block's unsettled amount: `charged` micro-credits are charged, the rest is returned.
     ///
     /// # Errors
     /// [`AccountError::NotUnsettled`].
@@ -370,13 +372,13 @@
             totals.settled += parts.settled;
             totals.unsettled += parts.unsettled;
         }
-        // A replica that lacks a refill knows of more that was spent than came in; it must lease nothing.
+        // In a replica that lacks a refill, more may be spent than refilled; the balance is 0 then, so that it leases nothing.
         let spent = totals.leased + totals.settled + totals.unsettled;
         totals.balance = totals.refilled.saturating_sub(spent);
         totals
     }
 
-    /// Each change of the balance, and why. Their sum is the balance, and below zero only in a replica that lacks a refill.
+    /// Every change of the balance with its reason. The sum is the balance; it is negative only in a replica that lacks a refill.
     pub fn statement(&self) -> Vec<StatementLine> {
         let refills = self.refills.iter();
         let mut lines: Vec<StatementLine> = refills
@@ -392,13 +394,13 @@
         lines
     }
 
-    /// Blocks of which something is unsettled, and how many micro-credits.
+    /// The blocks with an unsettled amount, and that amount in micro-credits.
     pub fn unsettled(&self) -> impl Iterator<Item = (&Block, Credits)> {
         let unsettled = self.granted_blocks().map(|(block, parts)| (block, parts.unsettled));
         unsettled.filter(|(_, unsettled)| *unsettled > 0)
     }
 
-    /// A block.
+    /// The block with this id, granted or not.
     pub fn block(&self, id: BlockId) -> Option<&Block> {
         self.blocks.get(&id)
     }
--- a/crates/credit/src/credit_cache.rs
+++ b/crates/credit/src/credit_cache.rs
@@ -1,4 +1,4 @@
-//! The blocks that one proxy holds of one tenant's credit, and the debits that it makes of them.
+//! The blocks that one proxy holds of one tenant's credit, and its debits from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,25 +10,25 @@
 
 /// How often debits are reported.
 pub const REPORT_INTERVAL: Micros = 20_000;
-/// Once a debit has not been acknowledged for so long, nothing more is spent of its block.
+/// Once a debit has not been acknowledged for this long, nothing more is spent from its block.
 pub const MAX_UNACKNOWLEDGED: Micros = 250_000;
-/// A block that has not been used for so long is returned.
+/// A block that has not been used for this long is returned.
 pub const IDLE_TIMEOUT: Micros = 300_000;
-/// A block is to last for the demand of this time.
+/// The window over which demand is measured: a requested block is sized for the demand of one window.
 const DEMAND_WINDOW: Micros = 300_000;
-/// A request for a block without an answer by then is repeated.
+/// A block request that is unanswered for this long is repeated.
 const REQUEST_TIMEOUT: Micros = 120_000;
-/// No message is later than this.
+/// The longest time for which a message can be delayed in the network.
 const MAX_MESSAGE_DELAY: Micros = 60_000_000;
-/// The most reports of a block that are waiting to be acknowledged.
+/// The most unacknowledged reports that are tracked per block.
 const MAX_OPEN_REPORTS: usize = 64;
 
-/// Whether a request has its credit.
+/// The result of reserving a request's credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reservation {
-    /// It has.
+    /// The credit is reserved.
     Reserved,
-    /// Credit is here or requested, and cannot be spent yet.
+    /// No block can pay for the request now, or the cache is stopped. The caller tries again later.
     Waiting,
 }
 
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct OpenReport {
     ceiling: Credits,
-    /// All batches below this number are in it.
+    /// It covers all batches below this number.
     next_batch: u32,
     acknowledged_by: BTreeSet<Holder>,
 }
@@ -65,16 +65,16 @@
     reserved: Credits,
     /// Micro-credits debited.
     debited: Credits,
-    /// Micro-credits up to which it may be spent.
+    /// The micro-credits of it that may be reserved, by the acknowledged reports.
     ceiling: Credits,
-    /// Requests under way with it.
+    /// The number of unfinished requests that it pays for.
     open_requests: u32,
     last_used: Micros,
     next_batch: u32,
     last_sequence: u64,
     fresh: Option<FreshDebits>,
     open_batches: BTreeMap<u32, OpenBatch>,
-    /// Enough backups keep all batches below this.
+    /// A majority of the backups, or the core, has all batches below this number.
     backed_up_below: u32,
     open_reports: BTreeMap<u64, OpenReport>,
     /// Nothing more is spent of it.
@@ -109,7 +109,7 @@
         self.grant.amount - self.reserved
     }
 
-    /// Since when a debit is not acknowledged by enough backups.
+    /// The time of the oldest debit that a majority of the backups has not acknowledged.
     fn unacknowledged_since(&self) -> Option<Micros> {
         let batch = self.open_batches.range(self.backed_up_below..).next();
         batch.map(|(_, batch)| batch.since).or(self.fresh.map(|fresh| fresh.since))
@@ -119,7 +119,7 @@
         self.unacknowledged_since().is_some_and(|since| now >= since + MAX_UNACKNOWLEDGED)
     }
 
-    /// Whether a request of this price may be paid from it.
+    /// Whether a request of this price can be reserved from it.
     fn can_reserve(&self, now: Micros, price: Credits) -> bool {
         let is_alive = self.is_alive(now) || is_injected(Defect::SpentAfterLifetime);
         is_alive && !self.is_closing && self.reserved + price <= self.ceiling && !self.is_stale(now)
@@ -139,11 +139,11 @@
     }
 
     /// Whether a report is due.
-    fn has_news(&self, now: Micros, needed: Credits) -> bool {
+    fn is_report_due(&self, now: Micros, needed: Credits) -> bool {
         let is_expired = !self.is_alive(now) && !is_injected(Defect::SpentAfterLifetime);
         let has_debits = self.fresh.is_some() || !self.open_batches.is_empty();
-        let soon = self.reserved + needed.max(self.grant.ceiling / 2 + 1);
-        let needs_ceiling = self.ceiling < soon.min(self.grant.amount);
+        let needed_ceiling = self.reserved + needed.max(self.grant.ceiling / 2 + 1);
+        let needs_ceiling = self.ceiling < needed_ceiling.min(self.grant.amount);
         has_debits || needs_ceiling && !is_expired || self.is_closing
     }
 
@@ -169,16 +169,16 @@
         DebitReport { sequence: self.last_sequence, block: self.grant.id, ceiling, batches, final_total }
     }
 
-    /// The ceiling that the next report announces.
+    /// The ceiling to announce in the next report.
     fn next_ceiling(&self, now: Micros, needed: Credits) -> Credits {
         let is_spendable = self.is_alive(now) && !self.is_closing;
-        let ahead = self.grant.ceiling.max(needed);
-        let ceiling = if is_spendable { self.reserved + ahead } else { self.ceiling };
+        let headroom = self.grant.ceiling.max(needed);
+        let ceiling = if is_spendable { self.reserved + headroom } else { self.ceiling };
         ceiling.min(self.grant.amount).max(self.ceiling)
     }
 }
 
-/// A request that has its credit.
+/// An unfinished request with reserved credit.
 #[derive(Debug, Clone, Copy)]
 struct OpenRequest {
     block: BlockId,
@@ -186,29 +186,29 @@
     is_debited: bool,
 }
 
-/// What was requested lately.
+/// The recent demand for credit.
 #[derive(Debug, Default)]
 struct Demand {
-    /// The begin of the current window.
-    window_began: Micros,
+    /// The start of the current window.
+    window_start: Micros,
     /// Micro-credits requested in the current window.
     current: Credits,
     /// Micro-credits requested in the window before.
     previous: Credits,
-    /// The price of the most expensive request that waits.
+    /// The price of the most expensive waiting request.
     needed: Credits,
 }
 
 impl Demand {
     fn advance(&mut self, now: Micros) {
-        if now < self.window_began + DEMAND_WINDOW {
+        if now < self.window_start + DEMAND_WINDOW {
             return;
         }
-        let is_recent = now < self.window_began + 2 * DEMAND_WINDOW;
+        let is_recent = now < self.window_start + 2 * DEMAND_WINDOW;
         self.previous = if is_recent { self.current } else { 0 };
-        self.window_began = now;
+        self.window_start = now;
         self.current = 0;
-        // A request that still waits says so again.
+        // A request that still waits calls `reserve` again.
         self.needed = 0;
     }
 
@@ -217,10 +217,10 @@
     }
 }
 
-/// A block that is over here.
+/// A block that this proxy has closed or will never accept.
 #[derive(Debug, Clone, Copy)]
 struct EndedBlock {
-    /// Until when its grant may arrive again.
+    /// Until then, a duplicate of its grant may arrive.
     until: Micros,
     debited: Credits,
 }
@@ -230,7 +230,7 @@
 pub struct CreditCache {
     blocks: BTreeMap<BlockId, HeldBlock>,
     requests: BTreeMap<u64, OpenRequest>,
-    /// When a block was requested, while that is not answered.
+    /// When the unanswered block request was sent.
     requested_at: Option<Micros>,
     demand: Demand,
     ended: BTreeMap<BlockId, EndedBlock>,
@@ -239,7 +239,7 @@
 }
 
 impl CreditCache {
-    /// Reserves the credit of a request: once for each, however many servers it is sent to.
+    /// Reserves the credit of a request, once per request even if it is sent to several servers.
     pub fn reserve(&mut self, now: Micros, request: u64, price: Credits) -> Reservation {
         self.demand.advance(now);
         if self.requests.contains_key(&request) {
@@ -259,8 +259,8 @@
         Reservation::Reserved
     }
 
-    /// A request is about to be sent to a server: from now on it may be executed, and is debited, once. Returns whether it may be
-    /// sent; if its block's lifetime has ended meanwhile, its credit is to be reserved anew.
+    /// Debits a request that is about to be sent to a server, since it may be executed from then on; only the first sending counts.
+    /// Returns whether it may be sent. If not, as its block's lifetime has ended, its credit must be reserved again.
     #[must_use]
     pub fn note_sending(&mut self, now: Micros, request: u64) -> bool {
         let Some(open) = self.requests.get_mut(&request) else { return false };
@@ -279,7 +279,7 @@
         true
     }
 
-    /// A request has ended. One that was not executed is not debited, or no longer.
+    /// Ends a request. The debit of one that was not executed is reversed.
     pub fn finish(&mut self, now: Micros, request: u64, execution: ExecutionStatus) {
         let Some(open) = self.requests.remove(&request) else { return };
         let Some(block) = self.blocks.get_mut(&open.block) else { return };
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Stops, returning what is not under way, or starts again. What is under way is carried through.
+    /// Stops, returning all credit that no unfinished request uses, or starts again. Unfinished requests keep their credit.
     pub fn set_stopped(&mut self, is_stopped: bool) {
         self.is_stopped = is_stopped;
         if is_stopped {
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Little is left for all: what is not under way is returned.
+    /// Closes all blocks: nothing more is reserved from them, and each is returned once its requests have ended.
     pub fn return_all(&mut self) {
         self.blocks.values_mut().for_each(|block| block.is_closing = true);
     }
@@ -313,13 +313,13 @@
         self.blocks.values().filter(move |block| block.is_alive(now) && !block.is_closing)
     }
 
-    /// The request for a block that is due now, if any.
+    /// Returns the block request to send now, if one is due.
     pub fn block_request(&mut self, now: Micros) -> Option<BlockRequest> {
         self.demand.advance(now);
         let wanted = self.demand.wanted();
         let is_waiting = self.requested_at.is_some_and(|at| now < at + REQUEST_TIMEOUT);
-        let most = self.spendable_blocks(now).map(HeldBlock::unreserved).max().unwrap_or(0);
-        let has_enough = most >= self.demand.needed && self.spendable(now) >= wanted / 2;
+        let largest = self.spendable_blocks(now).map(HeldBlock::unreserved).max().unwrap_or(0);
+        let has_enough = largest >= self.demand.needed && self.spendable(now) >= wanted / 2;
         if is_waiting || self.is_stopped || has_enough {
             return None;
         }
@@ -328,17 +328,18 @@
         Some(BlockRequest { wanted: wanted.max(needed), needed })
     }
 
-    /// A request for a block is answered; `None` if there is no credit, or the account is elsewhere.
+    /// Takes the answer to a block request; `None` if there is no credit, or the account is at another core.
     pub fn granted(&mut self, requested_at: Micros, now: Micros, grant: Option<BlockGrant>) {
         self.requested_at = None;
         self.ended.retain(|_, block| now < block.until);
-        // A grant that arrives twice must not be spent twice.
+        // A duplicate of an ended block's grant must not be spent again.
         let Some(grant) = grant.filter(|grant| !self.ended.contains_key(&grant.id)) else { return };
         let is_stopped = self.is_stopped;
         self.blocks.entry(grant.id).or_insert_with(|| HeldBlock::new(now, requested_at, grant, is_stopped));
     }
 
-    /// The reports that are due now, each for the core and for these backups. They are repeated until they are acknowledged.
+    /// Returns the reports that are due now, each to be sent to the core and to the listed backups. Debits are reported again until
+    /// the core has acknowledged them.
     pub fn tick(&mut self, now: Micros) -> Vec<(DebitReport, Vec<Holder>)> {
         if now < self.last_report + REPORT_INTERVAL {
             return Vec::new();
@@ -348,14 +349,14 @@
         let mut reports = Vec::new();
         for block in self.blocks.values_mut() {
             block.close_if_unused(now);
-            if block.has_news(now, needed) {
+            if block.is_report_due(now, needed) {
                 reports.push((block.report(now, needed), block.grant.backups.clone()));
             }
         }
         reports
     }
 
-    /// A backup has acknowledged a report.
+    /// Takes a backup's acknowledgement of a report.
     pub fn acknowledged_by_backup(&mut self, block: BlockId, sequence: u64, backup: &Holder) {
         let Some(block) = self.blocks.get_mut(&block) else { return };
         let needed = majority(block.grant.backups.len());
@@ -369,7 +370,7 @@
         }
     }
 
-    /// The core has acknowledged a report: a majority of the stores has it.
+    /// Takes the core's acknowledgement of a report: a majority of the stores has it.
     pub fn acknowledged_by_core(&mut self, block: BlockId, sequence: u64) {
         let Some(block) = self.blocks.get_mut(&block) else { return };
         let Some(report) = block.open_reports.get(&sequence) else { return };
@@ -379,14 +380,15 @@
         block.open_reports = block.open_reports.split_off(&(sequence + 1));
     }
 
-    /// The core has taken the last report on a block.
+    /// Removes a block after the core has taken its last report.
     pub fn closed(&mut self, now: Micros, block: BlockId) {
         if let Some(held) = self.blocks.remove(&block) {
             self.ended.insert(block, EndedBlock { until: now + MAX_MESSAGE_DELAY, debited: held.debited });
         }
     }
 
-    /// The core asks about a block whose lifetime is over. One that was never heard of here was not spent, and never will be.
+    /// Answers the core's query about an expired block, unless it is still held here. A block that is unknown here was not spent, and
+    /// a grant of it that arrives later is ignored.
     pub fn final_report(&mut self, now: Micros, block: BlockId) -> Option<DebitReport> {
         if self.blocks.contains_key(&block) {
             return None;
@@ -396,7 +398,7 @@
         Some(DebitReport { sequence: 0, block, ceiling: 0, batches: Vec::new(), final_total: Some(debited) })
     }
 
-    /// Micro-credits that could still be spent here, were the reports acknowledged.
+    /// The unreserved micro-credits of all open blocks, regardless of their ceilings.
     pub fn spendable(&self, now: Micros) -> Credits {
         self.spendable_blocks(now).map(HeldBlock::unreserved).sum()
     }
--- a/crates/credit/src/debit_backup.rs
+++ b/crates/credit/src/debit_backup.rs
@@ -1,4 +1,4 @@
-//! Other proxies keep the debits of a proxy that has no disk, and its blocks are settled from them after its loss.
+//! Copies of a proxy's debits at other proxies: a proxy has no disk, so its blocks are settled from these copies if it is lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,19 +9,19 @@
 use crate::messages::{BlockId, DebitReport, Holder, KnownDebits};
 use crate::{Credits, Micros};
 
-/// How many backups a block has, where there are so many other proxies.
+/// The number of backups of a block; fewer if there are not enough other proxies.
 pub const BACKUPS: usize = 3;
-/// A backup that has not answered for so long counts as lost: one that only stalled has resumed by then.
+/// A backup that has not answered for this long counts as lost; one that merely stalled has resumed by then.
 pub const ANSWER_TIMEOUT: Micros = 3_000_000;
-/// How long a backup keeps what was reported to it, after the last report.
+/// How long a backup keeps a block's debits after the last report.
 const RETENTION: Micros = 60_000_000;
 
-/// How many of so many backups have to acknowledge a report: any two such sets have one in common.
+/// The number of backups that must acknowledge a report: any two sets of this size have a backup in common.
 pub fn majority(backups: usize) -> usize {
     backups / 2 + 1
 }
 
-/// The backups of a holder: by rendezvous hashing over the other live proxies.
+/// Chooses the backups of a holder by rendezvous hashing over the other live proxies.
 pub fn choose_backups(holder: &Holder, live: &BTreeSet<Holder>) -> Vec<Holder> {
     let others = live.iter().filter(|other| other.name != holder.name);
     let by_name: BTreeMap<&str, &Holder> = others.map(|other| (other.name.as_str(), other)).collect();
@@ -29,7 +29,7 @@
     ranked.into_iter().take(BACKUPS).map(|name| by_name[name].clone()).collect()
 }
 
-/// What a backup keeps of a block.
+/// A backup's copy of a block.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
 pub struct BackedUpBlock {
     /// Its debits.
@@ -44,14 +44,14 @@
     block: BackedUpBlock,
 }
 
-/// All that a proxy keeps for others, in memory.
+/// The copies that one proxy keeps for others, in memory.
 #[derive(Debug, Default)]
 pub struct DebitBackup {
     blocks: BTreeMap<BlockId, StoredBackup>,
 }
 
 impl DebitBackup {
-    /// Another proxy reports. The report is to be acknowledged.
+    /// Stores another proxy's report, which is to be acknowledged then.
     pub fn store(&mut self, now: Micros, report: &DebitReport) {
         let stored = self.blocks.entry(report.block).or_default();
         stored.last_report = now;
@@ -59,27 +59,27 @@
         stored.block.ceiling = stored.block.ceiling.max(report.ceiling);
     }
 
-    /// What is kept of a block, for the core. Nothing is an answer, too: nothing was reported to this process.
+    /// The copy of a block, for the core. It is empty if nothing was reported to this process, which is a valid answer.
     pub fn block(&self, id: BlockId) -> BackedUpBlock {
         self.blocks.get(&id).map(|stored| stored.block.clone()).unwrap_or_default()
     }
 
-    /// Forgets what is old.
+    /// Removes copies that are older than the retention time.
     pub fn tick(&mut self, now: Micros) {
         self.blocks.retain(|_, stored| now < stored.last_report + RETENTION);
     }
 }
 
-/// What the backups of a block have answered.
+/// The merged answers of a block's backups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecoveredBlock<'a> {
     /// Its debits.
     pub debits: &'a KnownDebits,
-    /// The ceiling, if nothing that was acknowledged can be missing.
+    /// The ceiling, if no acknowledged report can be missing.
     pub ceiling: Option<Credits>,
 }
 
-/// The core queries the backups of one block.
+/// The core's query to the backups of one block.
 #[derive(Debug)]
 pub struct DebitRecovery {
     started: Micros,
@@ -90,19 +90,19 @@
 }
 
 impl DebitRecovery {
-    /// Starts. All backups are to be queried, again every 100 ms.
+    /// Starts the query. The caller queries all unanswered backups, and repeats that every 100 ms.
     pub fn new(now: Micros, block: &Block) -> DebitRecovery {
         let unanswered: BTreeSet<Holder> = block.backups.iter().cloned().collect();
         let known = BackedUpBlock { debits: block.debits.clone(), ceiling: block.ceiling };
         DebitRecovery { started: now, backups: unanswered.len(), unanswered, answers: 0, block: known }
     }
 
-    /// The backups that have not answered.
+    /// The backups that have not answered yet.
     pub fn unanswered(&self) -> impl Iterator<Item = &Holder> {
         self.unanswered.iter()
     }
 
-    /// A backup answers. `from` is the process that answers: another process of the same name is not the one that acknowledged.
+    /// Takes an answer from the process `from`. A different process of the same node is ignored: it has not acknowledged the reports.
     pub fn answer(&mut self, from: &Holder, block: &BackedUpBlock) {
         if self.unanswered.remove(from) {
             self.answers += 1;
@@ -111,10 +111,10 @@
         }
     }
 
-    /// The result, once all have answered or the time is over.
+    /// The result, once all backups have answered or the time is up.
     pub fn result(&self, now: Micros) -> Option<RecoveredBlock<'_>> {
         let is_over = self.unanswered.is_empty() || now >= self.started + ANSWER_TIMEOUT;
-        // One that answered is among any that were enough to acknowledge.
+        // So many have answered that any majority that acknowledged a report includes one of them.
         let is_certain = self.answers + majority(self.backups) > self.backups;
         let ceiling = is_certain.then_some(self.block.ceiling);
         is_over.then_some(RecoveredBlock { debits: &self.block.debits, ceiling })
--- a/crates/credit/src/lib.rs
+++ b/crates/credit/src/lib.rs
@@ -1,14 +1,14 @@
 //! Prepaid credit: one account a tenant, leased to proxies in blocks that have a lifetime, debited once a request.
 //!
-//! - [`account`]: what the core knows of one tenant;
+//! - [`account`]: one tenant's account at the core;
 //! - [`credit_cache`]: the blocks that one proxy holds;
-//! - [`debit_backup`]: how other proxies keep the debits of a proxy that has no disk, and how they are recovered;
-//! - [`pause`]: how all proxies stop and start together;
-//! - [`price`]: what a request costs;
-//! - [`messages`]: what these send each other.
+//! - [`debit_backup`]: copies of a proxy's debits at other proxies, since a proxy has no disk, and their recovery;
+//! - [`pause`]: stopping and restarting all proxies together when a tenant's credit runs out;
+//! - [`price`]: the price of a request;
+//! - [`messages`]: the messages between proxies, backups and the core.
 //!
-//! All are state machines: the caller brings the clock, the links and the disks. Nothing uses the package yet. Money is whole
-//! micro-credits ([`Credits`]) everywhere. Times are microseconds of the caller's monotonic clock.
+//! All are state machines without I/O: the caller provides clock, network and storage. Nothing uses the package yet. All amounts
+//! of money are whole micro-credits ([`Credits`]). Times are microseconds of the caller's monotonic clock.
 
 pub mod account;
 pub mod credit_cache;
@@ -20,13 +20,13 @@
 #[cfg(test)]
 mod random_load;
 
-/// Whole micro-credits. A micro-credit is a millionth of a credit, and the smallest amount.
+/// An amount in micro-credits, the smallest unit: a millionth of a credit.
 pub type Credits = u64;
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
 
-/// Defects that tests inject, to see that they are found.
+/// Defects that tests inject to verify that the checks find them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Defect {
     /// A refill that is sent twice counts twice.
@@ -37,7 +37,7 @@
     SpentAfterLifetime,
     /// A request that is sent to a second server is debited again.
     SecondServer,
-    /// What is unsettled is given back.
+    /// Unsettled micro-credits are returned to the balance.
     UnsettledForgiven,
 }
 
@@ -46,7 +46,7 @@
     pub(crate) static INJECTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
-/// Whether a defect is injected: never outside of the tests.
+/// Whether a defect is injected; always false outside of tests.
 pub(crate) fn is_injected(defect: Defect) -> bool {
     #[cfg(test)]
     return INJECTED.get() == Some(defect);
--- a/crates/credit/src/messages.rs
+++ b/crates/credit/src/messages.rs
@@ -1,4 +1,4 @@
-//! What proxies, their backups and the core send each other about blocks and debits.
+//! The messages about blocks and debits between proxies, their backups and the core.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 
 use crate::{is_injected, Credits, Defect, Micros};
 
-/// A process of a proxy. What it holds in memory ends with the process.
+/// One process of a proxy. Its credit is in memory only, so a restarted process is a different holder.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Holder {
     /// The node's name.
     pub name: String,
-    /// Another number in each run of the process.
+    /// A number that differs in each run of the process.
     pub process_id: u64,
 }
 
-/// The name of a block.
+/// The id of a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct BlockId {
     /// The fencing token under which it was leased.
@@ -29,23 +29,23 @@
 pub struct DebitBatch {
     /// Its number within its block, from 0.
     pub number: u32,
-    /// Micro-credits debited less those taken back.
+    /// Micro-credits debited, minus debits that were reversed.
     pub amount: i64,
 }
 
-/// The batches that are known of a block. A batch never changes, so replicas merge in any order and any number of times.
+/// The known batches of a block. A batch never changes, so merging replicas is commutative and idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
 pub struct KnownDebits {
     /// All batches below this number are known.
     complete_below: u32,
-    /// The sum of those.
+    /// The sum of the batches below `complete_below`.
     sum: i64,
-    /// Batches above a gap.
+    /// Batches above a gap, by number.
     later: BTreeMap<u32, i64>,
 }
 
 impl KnownDebits {
-    /// Adds a batch. One that is known already counts no second time.
+    /// Adds a batch. A known batch is not counted again.
     pub fn add(&mut self, batch: DebitBatch) {
         if is_injected(Defect::DoubleBatch) && batch.number < self.complete_below {
             self.sum += batch.amount;
@@ -83,15 +83,15 @@
 /// A proxy's report of the debits of a block, to the core and to the backups.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct DebitReport {
-    /// Which of the proxy's reports on this block it is.
+    /// The number of the report among those of this block. The first is 1; 0 marks an answer to a final report request.
     pub sequence: u64,
-    /// The block.
+    /// The block that is reported on.
     pub block: BlockId,
-    /// The proxy is going to spend up to this of the block, in micro-credits, once this report is acknowledged.
+    /// The micro-credits of the block that the proxy may spend once this report is acknowledged.
     pub ceiling: Credits,
     /// Batches that the core has not acknowledged.
     pub batches: Vec<DebitBatch>,
-    /// In the last report: the micro-credits that were debited in all. No more will be.
+    /// In the last report: the micro-credits debited in all. Nothing more will be debited.
     pub final_total: Option<Credits>,
 }
 
@@ -100,21 +100,21 @@
 pub struct BlockRequest {
     /// Micro-credits wanted.
     pub wanted: Credits,
-    /// Micro-credits without which a block is of no use.
+    /// The smallest useful size of the block in micro-credits: the price of a waiting request.
     pub needed: Credits,
 }
 
-/// A block as it is granted to a proxy.
+/// The grant of a block to a proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct BlockGrant {
-    /// Its name.
+    /// The block's id.
     pub id: BlockId,
-    /// Micro-credits in it.
+    /// Its size in micro-credits.
     pub amount: Credits,
-    /// Micro-credits of it that may be spent before any report was acknowledged.
+    /// The micro-credits of it that may be spent before any report is acknowledged.
     pub ceiling: Credits,
-    /// How long it may be spent, from when it was requested.
+    /// How long it may be spent, counted from its request.
     pub lifetime: Micros,
-    /// Who keeps its debits.
+    /// The proxy processes that keep copies of its debits.
     pub backups: Vec<Holder>,
 }
--- a/crates/credit/src/pause/tests.rs
+++ b/crates/credit/src/pause/tests.rs
@@ -1,11 +1,11 @@
-//! Stops, starts and deferred requests.
+//! Tests of stops, restarts and deferred requests.
 
 use googletest::prelude::*;
 
 use super::*;
 
 #[gtest]
-fn what_comes_back_in_its_slot_goes_first_at_any_node() {
+fn a_deferred_request_is_admitted_in_its_slot_at_any_node() {
     let (mut a, mut b) = (ArrivalGate::new("a"), ArrivalGate::new("b"));
     let empty = LevelUpdate { fencing_token: 1, sequence: 1, level: Level::Empty };
     let available = LevelUpdate { sequence: 2, level: Level::Available, ..empty };
@@ -13,7 +13,7 @@
     let Arrival::Deferred { slot, retry_after } = a.arrive(0, 0, 7, true) else { panic!("it is deferred") };
     expect_that!(retry_after, all!(ge(MIN_RETRY_AFTER - SLOT_LENGTH), le(2 * MIN_RETRY_AFTER + SLOT_LENGTH)));
     a.own_counts().for_each(|(slot, counts)| (0..2).for_each(|_| b.merge_counts(slot, "a", counts)));
-    // The refill comes just before, so newcomers are hardly let in.
+    // The restart was just before, so hardly any new request is admitted.
     b.update(retry_after - 1_000, available);
     expect_that!(b.update(retry_after, empty), eq(false), "an old update");
     expect_that!(b.open_places(slot), eq(1), "received twice, counted once");
@@ -21,12 +21,12 @@
     expect_that!(
         b.arrive(retry_after, retry_after, 8, true),
         not(eq(Arrival::Admitted)),
-        "one place for one"
+        "the only place is used"
     );
 }
 
 #[gtest]
-fn after_a_start_there_is_no_herd() {
+fn requests_are_spread_out_after_a_stop_and_after_a_restart() {
     let mut gate = ArrivalGate::new("a");
     gate.update(0, LevelUpdate { fencing_token: 1, sequence: 1, level: Level::Empty });
     let mut slots: BTreeMap<u64, u32> = BTreeMap::new();
@@ -35,7 +35,7 @@
             *slots.entry(slot).or_default() += 1;
         }
     }
-    // 1,000 over 20 slots.
+    // 1,000 requests over 20 slots, 50 each on average.
     expect_that!(slots.values().max(), some(le(&90)));
     gate.update(0, LevelUpdate { fencing_token: 1, sequence: 2, level: Level::Available });
     let mut in_tenth = [0; 10];
@@ -47,11 +47,11 @@
 }
 
 #[gtest]
-fn what_is_returned_at_the_end_does_not_start_all_again() {
+fn credit_returned_after_the_stop_does_not_restart_proxies() {
     let mut controller = LevelController::new(3);
     expect_that!(controller.step(10_000, 0, 10, 11).level, eq(Level::Available));
     expect_that!(controller.step(300, 0, 10, 11).level, eq(Level::Low));
-    expect_that!(controller.step(0, 200, 10, 11).level, eq(Level::Low), "proxies still have some");
+    expect_that!(controller.step(0, 200, 10, 11).level, eq(Level::Low), "proxies still hold credit");
     expect_that!(controller.step(0, 100, 10, 11).level, eq(Level::Empty));
     expect_that!(controller.step(109, 0, 10, 11).level, eq(Level::Empty));
     let low = controller.step(300, 0, 10, 11);
--- a/crates/credit/src/price.rs
+++ b/crates/credit/src/price.rs
@@ -1,4 +1,4 @@
-//! What a request of a route costs.
+//! The price of a request by route.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A unit in thousandths, in which units are counted so that a part of one has a price, too.
+/// The thousandths in one unit. Units are counted in thousandths, so that fractions of a unit are charged, too.
 pub const UNIT: u64 = 1_000;
 
 /// The price of a route.
@@ -18,42 +18,42 @@
 pub struct Price {
     /// Micro-credits for each request.
     pub request: Credits,
-    /// Micro-credits for each whole unit on top.
+    /// Additional micro-credits for each unit.
     pub unit: Credits,
 }
 
 /// The prices of all routes, as one item of the configuration.
 ///
-/// A change holds for requests that are taken after it: a debit carries what it cost when it was taken.
+/// A change applies to requests that are accepted after it: a debit carries the price at the time of acceptance.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
 pub struct Prices {
-    /// That of a route without a price of its own.
+    /// The price of routes that are not in `routes`.
     pub default: Price,
-    /// By route.
+    /// Prices by route.
     pub routes: BTreeMap<String, Price>,
 }
 
-/// Why there is no price.
+/// Why a price cannot be calculated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum PriceError {
-    /// It would overflow.
-    #[error("the price is more than can be counted")]
+    /// It does not fit into [`Credits`].
+    #[error("the price would overflow")]
     Overflow,
 }
 
 impl Prices {
-    /// Micro-credits for a request of `route` with so many thousandths of a unit. A part of a micro-credit counts as one.
+    /// The cost of a request of `route` with this many thousandths of a unit, rounded up to whole micro-credits.
     ///
     /// # Errors
     ///
-    /// [`PriceError::Overflow`] if it is more than a `u64` holds.
+    /// [`PriceError::Overflow`] if the cost does not fit into [`Credits`].
     pub fn cost(&self, route: &str, thousandths: u64) -> Result<Credits, PriceError> {
         let price = self.routes.get(route).unwrap_or(&self.default);
         let units = (u128::from(price.unit) * u128::from(thousandths)).div_ceil(u128::from(UNIT));
         Credits::try_from(u128::from(price.request) + units).map_err(|_| PriceError::Overflow)
     }
 
-    /// Micro-credits of the cheapest request that costs anything; 1 if none does.
+    /// The price of the cheapest request that is not free, or 1 if all are free.
     pub fn cheapest(&self) -> Credits {
         let all = self.routes.values().chain([&self.default]);
         all.map(|price| price.request.max(price.unit.div_ceil(UNIT)))
--- a/crates/credit/src/price/tests.rs
+++ b/crates/credit/src/price/tests.rs
@@ -1,11 +1,11 @@
-//! Prices are rounded up, and nothing overflows.
+//! Tests that prices are rounded up and overflows are reported.
 
 use googletest::prelude::*;
 
 use super::*;
 
 #[gtest]
-fn parts_are_rounded_up_and_nothing_wraps() {
+fn fractions_are_rounded_up_and_overflow_is_an_error() {
     let mut prices = Prices { default: Price { request: 5, unit: 0 }, ..Prices::default() };
     prices.routes.insert("pay".into(), Price { request: 100, unit: 7 });
     prices.routes.insert("much".into(), Price { request: 1, unit: u64::MAX });
--- a/crates/credit/src/random_load.rs
+++ b/crates/credit/src/random_load.rs
@@ -1,4 +1,5 @@
-//! Random load with faults on all of it: messages lost, duplicated and late, proxies killed and frozen, the core taken over.
+//! Simulations of random load with faults in all parts: lost, duplicated and late messages, killed and frozen proxies, unreachable
+//! stores, and takeovers of the core.
 
 use googletest::prelude::*;
 
@@ -13,25 +14,25 @@
 use simulation::{Simulation, Violation};
 use world::{Statistics, PRICES, PROXIES};
 
-fn play(seed: u64, statistics: &mut Statistics) -> std::result::Result<(), Violation> {
+fn simulate(seed: u64, statistics: &mut Statistics) -> std::result::Result<(), Violation> {
     Simulation::new(seed, statistics).run()
 }
 
-/// Plays of 10 s with faults and 9 s without.
-fn plays(seeds: std::ops::Range<u64>) -> Statistics {
+/// Runs one simulation per seed: 10 s with load and faults, then 9 s without.
+fn simulate_all(seeds: std::ops::Range<u64>) -> Statistics {
     let mut statistics = Statistics::default();
     for seed in seeds {
-        if let Err(violation) = play(seed, &mut statistics) {
+        if let Err(violation) = simulate(seed, &mut statistics) {
             panic!("seed {seed}: {violation}");
         }
     }
     statistics.stop_delays.sort_unstable();
     statistics.exhaustion_delays.sort_unstable();
     print_statistics(&statistics);
-    // What a proxy has taken back and not reported yet comes on top of what the core knows.
+    // Credit that proxies have returned and not reported yet adds to the amount that the core knows to be leased.
     let bound = PRICES[0] * PROXIES as u64 + PRICES[2];
     expect_that!(statistics.stranded.iter().max(), some(lt(&bound)));
-    // Two updates in a row may be lost, and one may be 3 s late.
+    // At most 5 % of the stops are late: two updates in a row may be lost, and one may be 3 s late.
     expect_that!(late_stops(&statistics) * 20, le(statistics.stop_delays.len()));
     statistics
 }
@@ -60,16 +61,16 @@
 }
 
 #[gtest]
-fn under_random_load_with_faults_the_invariants_hold() {
-    let statistics = plays(0..8);
+fn invariants_hold_under_random_load_with_faults() {
+    let statistics = simulate_all(0..8);
     expect_that!(statistics.executed, gt(1_000));
     expect_that!(statistics.proxies_killed, gt(20));
 }
 
 #[gtest]
 #[ignore = "a minute"]
-fn so_they_do_in_four_hundred_plays() {
-    plays(1_000..1_400);
+fn invariants_hold_in_four_hundred_simulations() {
+    simulate_all(1_000..1_400);
 }
 
 #[gtest]
@@ -82,7 +83,7 @@
         Defect::UnsettledForgiven,
     ] {
         INJECTED.set(Some(defect));
-        let found = (0..8).find_map(|seed| play(seed, &mut Statistics::default()).err());
+        let found = (0..8).find_map(|seed| simulate(seed, &mut Statistics::default()).err());
         INJECTED.set(None);
         println!("{defect:?}: {found:?}");
         expect_that!(found, some(anything()), "{defect:?}");
--- a/crates/credit/src/random_load/checks.rs
+++ b/crates/credit/src/random_load/checks.rs
@@ -1,4 +1,4 @@
-//! What holds at the end of a play.
+//! The checks at the end of a simulation.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::messages::BlockId;
 use crate::Credits;
 
-/// What the statement says of a block.
+/// A block's amounts according to the account's statement.
 #[derive(Debug, Default, Clone, Copy)]
 struct StatedBlock {
     settled: Credits,
@@ -28,7 +28,7 @@
 }
 
 impl Simulation<'_> {
-    /// All is settled, and each block as the servers saw it.
+    /// Checks that everything is settled, and that each block's debits match what the servers executed.
     pub(super) fn check_end(&mut self) -> Result<(), Violation> {
         let core = self.core.take().ok_or("no core")?;
         let totals = core.account.totals();
--- a/crates/credit/src/random_load/proxies.rs
+++ b/crates/credit/src/random_load/proxies.rs
@@ -1,4 +1,4 @@
-//! The side of the proxies in a play.
+//! The proxies in a simulation.
 
 use pinerelay_config_state::execution::ExecutionStatus;
 
@@ -15,9 +15,9 @@
 
 /// How long a request waits for credit.
 const MAX_WAIT: Micros = 300_000;
-/// How long a killed proxy is away.
+/// How long a killed proxy is down before it restarts.
 const RESTART_DELAY: Micros = 500_000;
-/// What the last step of a proxy may add to the time in which debits stay unacknowledged.
+/// Added to the longest time for which debits may stay unacknowledged, since a proxy acts in steps.
 const STEP_TOLERANCE: Micros = 10_000;
 
 impl Simulation<'_> {
@@ -63,7 +63,7 @@
     }
 
     pub(super) fn add_arrivals(&mut self) {
-        if !self.is_busy() {
+        if !self.is_under_load() {
             return;
         }
         for _ in 0..self.network.random_below(8) {
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn proxy_faults(&mut self) -> Result<(), Violation> {
-        if !self.is_busy() {
+        if !self.is_under_load() {
             return Ok(());
         }
         let index = self.network.random_below(PROXIES as u64) as usize;
@@ -111,14 +111,14 @@
             }
             match proxy.gate.arrive(self.now, self.now, id, true) {
                 Arrival::Admitted => proxy.waiting.push(WaitingRequest { id, price, since: self.now }),
-                Arrival::Deferred { retry_after, .. } => self.come_back(retry_after, id, price),
+                Arrival::Deferred { retry_after, .. } => self.schedule_return(retry_after, id, price),
             }
         }
     }
 
-    /// A deferred request comes back, if the play still lasts then.
-    fn come_back(&mut self, retry_after: Micros, id: u64, price: Credits) {
-        if self.is_busy_at(self.now + retry_after) {
+    /// Schedules the return of a deferred request, if requests still arrive at that time.
+    fn schedule_return(&mut self, retry_after: Micros, id: u64, price: Credits) {
+        if self.is_under_load_at(self.now + retry_after) {
             self.statistics.deferred += 1;
             self.arrivals.insert((self.now + retry_after, id), price);
         }
@@ -192,7 +192,7 @@
     }
 }
 
-/// Sends a request to a server; returns whether its credit could still be spent.
+/// Sends a request to a server. Returns false if its credit could no longer be spent.
 fn send(
     now: Micros,
     request: &mut RunningRequest,
@@ -211,13 +211,13 @@
     served.under_way += request.price;
     served.most_under_way = served.most_under_way.max(served.under_way);
     if network.one_in(8) {
-        // A second server for the same attempt.
+        // The same request is sent to a second server.
         let _ = cache.note_sending(now, request.id);
     }
     true
 }
 
-/// Ends a request; returns whether it may have been executed.
+/// Ends a request with a random outcome. Returns whether it may have been executed.
 fn finish(
     now: Micros,
     request: &RunningRequest,
--- a/crates/credit/src/random_load/simulation.rs
+++ b/crates/credit/src/random_load/simulation.rs
@@ -1,4 +1,4 @@
-//! A play: its state, its steps, and the side of the core.
+//! A simulation: its state, its steps, and the core.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,16 @@
 use crate::pause::{Level, LevelController, LevelUpdate, UPDATE_INTERVAL};
 use crate::{Credits, Micros};
 
-/// How long requests arrive and faults happen.
-const BUSY: Micros = 10_000_000;
-/// And how long nothing does, so that all is settled.
-const QUIET: Micros = 9_000_000;
-/// How often the backups of a lost block are queried.
+/// The first phase, in which requests arrive and faults are injected.
+const LOAD_PHASE: Micros = 10_000_000;
+/// The second phase, without arrivals and faults, in which everything is to be settled.
+const QUIET_PHASE: Micros = 9_000_000;
+/// The interval at which the backups of a lost block are queried.
 const QUERY_INTERVAL: Micros = 100_000;
-/// How often the statement is checked.
+/// The interval at which the statement is checked.
 const STATEMENT_INTERVAL: Micros = 100_000;
 
-/// What a play has found to be wrong.
+/// A violated invariant.
 pub(super) type Violation = String;
 
 pub(super) struct Simulation<'a> {
@@ -36,12 +36,12 @@
     pub last_request: u64,
     pub statistics: &'a mut Statistics,
     last_token: u64,
-    /// When the core starts again.
+    /// When the core restarts.
     core_starts_at: Micros,
     unreachable_store: usize,
-    /// Since when the level is empty.
+    /// When the level became empty, while it is.
     empty_since: Option<Micros>,
-    /// Since when nothing can be leased.
+    /// When the balance fell below the cheapest price, while it is below.
     exhausted_since: Option<Micros>,
 }
 
@@ -66,22 +66,22 @@
         }
     }
 
-    /// Plays to the end.
+    /// Runs all steps and the final checks.
     pub(super) fn run(&mut self) -> Result<(), Violation> {
-        for now in (0..BUSY + QUIET).step_by(STEP as usize) {
+        for now in (0..LOAD_PHASE + QUIET_PHASE).step_by(STEP as usize) {
             self.now = now;
             self.step()?;
         }
         self.check_end()
     }
 
-    pub(super) fn is_busy(&self) -> bool {
-        self.now < BUSY
+    pub(super) fn is_under_load(&self) -> bool {
+        self.now < LOAD_PHASE
     }
 
-    /// Whether a time lies in the busy part of the play.
-    pub(super) fn is_busy_at(&self, time: Micros) -> bool {
-        time < BUSY
+    /// Whether a time lies in the load phase.
+    pub(super) fn is_under_load_at(&self, time: Micros) -> bool {
+        time < LOAD_PHASE
     }
 
     fn step(&mut self) -> Result<(), Violation> {
@@ -100,20 +100,20 @@
     }
 
     fn core_faults(&mut self) {
-        if self.is_busy() && self.network.one_in(300) {
+        if self.is_under_load() && self.network.one_in(300) {
             self.unreachable_store = self.network.random_below(4) as usize;
         }
-        if !self.is_busy() {
+        if !self.is_under_load() {
             self.unreachable_store = NO_STORE;
         }
-        if self.is_busy() && self.network.one_in(500) {
+        if self.is_under_load() && self.network.one_in(500) {
             self.core = None;
             self.core_starts_at = self.now + 100_000 + self.network.random_below(800_000);
             self.empty_since = None;
         }
     }
 
-    /// The core starts, and takes the account over.
+    /// Starts the core, which takes the account over from the reachable stores.
     fn start_core(&mut self) {
         if self.core.is_some() || self.now < self.core_starts_at {
             return;
@@ -132,9 +132,9 @@
         self.core = Some(Core { fencing_token, account, controller, recoveries, unwritten, last_update: 0 });
     }
 
-    /// An operator's refill, which is sent again now and then.
+    /// Adds an operator's refill at random, or sends an earlier one again.
     fn refill(&mut self) -> Result<(), Violation> {
-        if !self.is_busy() || !self.network.one_in(250) {
+        if !self.is_under_load() || !self.network.one_in(250) {
             return Ok(());
         }
         let is_repeated = self.network.one_in(3);
@@ -160,7 +160,7 @@
     }
 
     fn core_step(&mut self) -> Result<(), Violation> {
-        // Taken out while it is used beside the other parts of the play.
+        // Taken out of `self`, since it is used together with other fields.
         let Some(mut core) = self.core.take() else { return Ok(()) };
         self.update_level(&mut core);
         self.recover_expired(&mut core);
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Queries the holders and the backups of blocks whose lifetime is over, and settles them.
+    /// Queries the holders and backups of expired blocks, and settles these.
     fn recover_expired(&mut self, core: &mut Core) {
         let expired: Vec<_> = core.account.expired_blocks(self.now).cloned().collect();
         for block in expired {
@@ -306,7 +306,7 @@
         self.send_to(&from, Message::BlockGrant { requested_at, grant });
     }
 
-    /// Leases a block, which is granted only if a majority of the stores has its record.
+    /// Leases a block. Returns the grant only if a majority of the stores has its record.
     fn lease(&mut self, core: &mut Core, holder: &Holder, request: BlockRequest) -> Option<BlockGrant> {
         let backups = choose_backups(holder, &self.live_holders());
         let token = core.fencing_token;
@@ -331,11 +331,11 @@
         }
     }
 
-    /// Notes when all proxies in contact have stopped.
+    /// Records the delay until all running proxies have stopped.
     fn note_stop(&mut self) {
         let Some(since) = self.empty_since else { return };
-        let mut in_contact = self.proxies.iter().filter(|proxy| proxy.runs(self.now));
-        let have_stopped = in_contact.all(|proxy| proxy.gate.level() == Level::Empty);
+        let mut running = self.proxies.iter().filter(|proxy| proxy.runs(self.now));
+        let have_stopped = running.all(|proxy| proxy.gate.level() == Level::Empty);
         if have_stopped && self.statistics.stop_delays.len() < self.statistics.stranded.len() {
             self.statistics.stop_delays.push(self.now - since);
         }
--- a/crates/credit/src/random_load/world.rs
+++ b/crates/credit/src/random_load/world.rs
@@ -1,4 +1,4 @@
-//! The parts of a play: proxies, the core, the stores, and the network between them.
+//! The parts of a simulation: proxies, the core, the stores, and the network between them.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 pub(super) const STEP: Micros = 5_000;
 pub(super) const PROXIES: usize = 6;
 pub(super) const STORES: usize = 3;
-/// No store has this number.
+/// An index that no store has: all stores are reachable.
 pub(super) const NO_STORE: usize = 9;
 pub(super) const PRICES: [Credits; 3] = [3, 10, 25];
 
@@ -33,21 +33,21 @@
     BackupAnswer { from: Holder, block: BlockId, backup: BackedUpBlock },
 }
 
-/// Where a message goes.
+/// The recipient of a message.
 #[derive(Clone, PartialEq, Eq)]
 pub(super) enum Destination {
     Core,
     Proxy(Holder),
 }
 
-/// A request that waits for credit.
+/// A request waiting for credit at a proxy.
 pub(super) struct WaitingRequest {
     pub id: u64,
     pub price: Credits,
     pub since: Micros,
 }
 
-/// A request that has its credit.
+/// A request with reserved credit.
 pub(super) struct RunningRequest {
     pub id: u64,
     pub price: Credits,
@@ -105,19 +105,19 @@
     pub account: Account,
     pub controller: LevelController,
     pub recoveries: BTreeMap<BlockId, Recovery>,
-    /// Records that no majority of the stores has.
+    /// Records that have not reached a majority of the stores.
     pub unwritten: Vec<Record>,
     pub last_update: Micros,
 }
 
 #[derive(Default)]
 pub(super) struct Store {
-    /// It accepts nothing under an earlier token.
+    /// It rejects writes under earlier tokens.
     pub promised_token: u64,
     pub account: Account,
 }
 
-/// What the servers saw of a block.
+/// What the servers received of a block's requests.
 #[derive(Default)]
 pub(super) struct ServedBlock {
     /// Micro-credits of requests that were sent and may have been executed.
@@ -154,14 +154,14 @@
     pub uncertain_recoveries: u64,
     /// Unsettled micro-credits of killed proxies' blocks.
     pub unsettled: Amounts,
-    /// Those of blocks of which enough backups answered.
+    /// Those of blocks of which enough backups have answered.
     pub certain_unsettled: Amounts,
     pub lost_blocks: u64,
-    /// From the end of the balance to the level empty.
+    /// The times from a balance below the cheapest price to the level `Empty`.
     pub exhaustion_delays: Vec<Micros>,
-    /// From the level empty to the last proxy's stop.
+    /// The times from the level `Empty` to the last proxy's stop.
     pub stop_delays: Vec<Micros>,
-    /// Micro-credits at proxies when the level became empty.
+    /// The micro-credits left at proxies when the level became empty.
     pub stranded: Vec<Credits>,
 }
 
@@ -172,19 +172,19 @@
 }
 
 pub(super) struct Network {
-    random: u64,
+    rng_state: u64,
     deliveries: BTreeMap<(Micros, u64), Delivery>,
     last_number: u64,
 }
 
 impl Network {
     pub(super) fn new(seed: u64) -> Network {
-        Network { random: seed, deliveries: BTreeMap::new(), last_number: 0 }
+        Network { rng_state: seed, deliveries: BTreeMap::new(), last_number: 0 }
     }
 
-    /// A random number below a bound.
+    /// Returns a random number below a bound.
     pub(super) fn random_below(&mut self, bound: u64) -> u64 {
-        (uniform(&mut self.random) * bound as f64) as u64
+        (uniform(&mut self.rng_state) * bound as f64) as u64
     }
 
     pub(super) fn one_in(&mut self, bound: u64) -> bool {
@@ -210,14 +210,14 @@
         self.deliveries.insert((at, self.last_number), delivery);
     }
 
-    /// The next message that has arrived.
+    /// Removes and returns the next message that is due.
     pub(super) fn next_delivery(&mut self, now: Micros) -> Option<Delivery> {
         let entry = self.deliveries.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(entry.remove())
     }
 }
 
-/// Writes a record to the stores that are reached; returns whether a majority has it.
+/// Writes a record to all reachable stores that accept the token. Returns whether a majority has it.
 pub(super) fn write(
     now: Micros,
     stores: &mut [Store],
@@ -225,7 +225,7 @@
     fencing_token: u64,
     record: &Record,
 ) -> bool {
-    let is_open = |index: usize, store: &Store| index != unreachable && store.promised_token <= fencing_token;
-    let reached = stores.iter_mut().enumerate().filter(|(index, store)| is_open(*index, store));
+    let accepts = |index: usize, store: &Store| index != unreachable && store.promised_token <= fencing_token;
+    let reached = stores.iter_mut().enumerate().filter(|(index, store)| accepts(*index, store));
     reached.map(|(_, store)| store.account.merge(now, record.clone())).count() > STORES / 2
 }
