--- a/crates/succession/src/claims.rs
+++ b/crates/succession/src/claims.rs
@@ -1,46 +1,48 @@
-//! One limit of descriptors, shared by the processes of a node: what each may claim beside the others.
+//! How the processes of a node share one limit of file descriptors.
 
-/// What one process claims, in descriptors.
+/// The descriptors that one process claims.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Claim {
-    /// It opens no more than these.
-    pub most: usize,
-    /// It stops, and its claim only shrinks.
+    /// The most descriptors that it may have open.
+    pub max_descriptors: usize,
+    /// It is stopping, so its claim only shrinks.
     pub leaves: bool,
 }
 
-/// What a process that holds `used` descriptors may claim of `limit` beside the others. No two that decide by it one after
-/// the other claim more than the limit together, unless they held more before: what is open is never taken back.
+/// The descriptors of `limit` that a process with `used` open descriptors may claim, given the others' claims. Processes that
+/// decide one after the other never claim more than the limit together, unless they had more open before: open descriptors are
+/// always included in the claim, up to the limit.
 pub fn claim(limit: usize, used: usize, leaves: bool, others: &[Claim]) -> usize {
-    let free = limit.saturating_sub(others.iter().map(|o| o.most).sum());
-    let fair = limit / (others.len() + 1);
+    let free = limit.saturating_sub(others.iter().map(|o| o.max_descriptors).sum());
+    let fair_share = limit / (others.len() + 1);
     let wanted = match () {
         () if leaves => used + slack(limit),
-        // Those that stop hold on to what they need; the rest is for the one that stays.
+        // All others are stopping and have claimed what they need, so this one gets the rest.
         () if others.iter().all(|o| o.leaves) => free,
-        // Danger: one that may not open a single connection more closes a client's for each that its requests need.
-        () => fair.max(used + slack(limit)),
+        // Without any slack, the process would have to close a client connection for each connection to an app server that its
+        // requests need.
+        () => fair_share.max(used + slack(limit)),
     };
     wanted.min(free).max(used.min(limit))
 }
 
-/// What processes of one limit may claim together. Danger: one that starts holds descriptors before it can claim any, while
-/// the others hold all that they may; an eighth is kept for those that start, so that even two at once pass no limit.
+/// The descriptors that all processes may claim together. A starting process opens descriptors before it can claim any, while
+/// the others may use all of theirs; an eighth of the limit is reserved for this, enough for two processes starting at once.
 pub fn shared(limit: usize) -> usize {
     limit - limit / 8
 }
 
-/// What a process may hold beyond what it has: a little for what open requests still need.
+/// The descriptors that a process may claim beyond those in use, for the connections that open requests still need.
 pub fn slack(limit: usize) -> usize {
     limit / 16
 }
 
-/// What a process needs to begin to serve.
+/// The descriptors that a process needs before it starts to serve.
 pub fn wanted(limit: usize) -> usize {
     limit / 4
 }
 
-/// Whether a process can serve with these.
+/// Whether a process can start to serve with this claim.
 pub fn enough(claimed: usize, limit: usize) -> bool {
     claimed >= wanted(limit)
 }
@@ -50,50 +52,50 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn stays(most: usize) -> Claim {
-        Claim { most, leaves: false }
+    fn serving(max_descriptors: usize) -> Claim {
+        Claim { max_descriptors, leaves: false }
     }
 
     #[test]
-    fn alone_all_of_two_half_and_the_one_that_stays_gets_what_the_other_lets_go() {
+    fn one_process_claims_all_two_claim_half_each_and_a_successor_gets_the_released_rest() {
         assert_eq!(claim(400, 30, false, &[]), 400);
-        // The second comes while the first holds all: nothing is free until that one has looked.
-        assert_eq!(claim(400, 0, false, &[stays(400)]), 0);
-        assert_eq!(claim(400, 150, false, &[stays(0)]), 200);
-        assert_eq!(claim(400, 0, false, &[stays(200)]), 200);
-        assert_eq!(claim(400, 250, false, &[stays(0)]), 275, "what is open is never taken back");
-        assert_eq!(claim(400, 250, false, &[stays(150)]), 250);
-        assert_eq!(claim(400, 100, true, &[stays(200)]), 125);
-        assert_eq!(claim(400, 140, false, &[Claim { most: 125, leaves: true }]), 275);
+        // The second starts while the first claims all: nothing is free until the first has read the second's record.
+        assert_eq!(claim(400, 0, false, &[serving(400)]), 0);
+        assert_eq!(claim(400, 150, false, &[serving(0)]), 200);
+        assert_eq!(claim(400, 0, false, &[serving(200)]), 200);
+        assert_eq!(claim(400, 250, false, &[serving(0)]), 275, "open descriptors stay claimed");
+        assert_eq!(claim(400, 250, false, &[serving(150)]), 250);
+        assert_eq!(claim(400, 100, true, &[serving(200)]), 125);
+        assert_eq!(claim(400, 140, false, &[Claim { max_descriptors: 125, leaves: true }]), 275);
         assert!(enough(100, 400) && !enough(99, 400));
     }
 
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(2_000))]
-        /// Any order of looks, starts, stops and deaths of up to four processes that hold what they may.
+        /// Any order of claims, starts, stops and exits of up to four processes that keep to their claims.
         #[test]
-        fn claims_never_pass_the_limit_whoever_looks_when(
+        fn claims_never_exceed_the_limit_in_any_order(
             steps in prop::collection::vec((0usize..5, 0usize..12, 0usize..8, 0usize..=384), 1..60)
         ) {
-            let mut all: Vec<(usize, Claim)> = vec![(0, stays(384))];
-            for (who, dies, stops, uses) in steps {
-                let n = who % (all.len() + 1);
+            let mut all: Vec<(usize, Claim)> = vec![(0, serving(384))];
+            for (draw, exits, stops, uses) in steps {
+                let n = draw % (all.len() + 1);
                 if n == all.len() {
                     if n < 4 {
-                        all.push((0, stays(0)));
+                        all.push((0, serving(0)));
                     }
                     continue;
                 }
-                if dies == 0 && all.len() > 1 {
+                if exits == 0 && all.len() > 1 {
                     all.remove(n);
                     continue;
                 }
                 let others: Vec<_> = all.iter().enumerate().filter(|(i, _)| *i != n).map(|(_, p)| p.1).collect();
                 let leaves = all[n].1.leaves || stops == 0;
-                let used = uses.min(all[n].1.most);
-                all[n] = (used, Claim { most: claim(384, used, leaves, &others), leaves });
-                let sum: usize = all.iter().map(|p| p.1.most).sum();
-                prop_assert!(sum <= 384 && all[n].1.most >= used, "{:?}", all);
+                let used = uses.min(all[n].1.max_descriptors);
+                all[n] = (used, Claim { max_descriptors: claim(384, used, leaves, &others), leaves });
+                let sum: usize = all.iter().map(|p| p.1.max_descriptors).sum();
+                prop_assert!(sum <= 384 && all[n].1.max_descriptors >= used, "{:?}", all);
             }
         }
     }
--- a/crates/succession/src/connection.rs
+++ b/crates/succession/src/connection.rs
@@ -1,116 +1,116 @@
-//! The life of one client's connection: when it may be closed, and what is owed to it before.
+//! The lifecycle of a client connection: when it may be closed without losing a request.
 //!
-//! A request is taken once its last byte has reached this machine, read or not. So nothing is closed on what the process
-//! happens to have read: whoever wants to close a connection tells it so, and the machine asks for a look at what lies
-//! unread before it lets go.
+//! A request counts as accepted once its last byte has reached this host, even if the process has not read it. What the process
+//! has read is therefore not enough to decide: to close a connection, the process requests it, and the state machine asks for a
+//! check of the socket's receive buffer before it closes.
 
-/// What is under way on a connection.
+/// The state of a connection, with what must happen before it may be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nothing has come on it yet. Owed: a look at what lies unread.
+    /// Nothing has been received yet. Before closing: a check for unread data.
     Fresh,
-    /// Its last request has been answered, and nothing has come since. Owed: a look at what lies unread.
+    /// Its last request has been answered, and nothing received since. Before closing: a check for unread data.
     Idle,
-    /// Part of a head has come, or a whole request behind the last one. Owed: its rest, until it is overdue.
+    /// Part of a request head has been received, or data of a pipelined request. Before closing: the rest, until its deadline.
     Head,
-    /// A request is open on it. Owed: its answer.
+    /// A request is being processed. Before closing: its answer.
     InWork,
-    /// Closed, or closing with the answer that is on its way. Owed: the rest of that.
+    /// Closed, or closing once the answer that is being written has been sent.
     Closing,
 }
 
 /// Why the process wants a connection closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Why {
-    /// The process stops: nothing is begun on it once its present request is answered.
+    /// The process is stopping: no further request is accepted once the current one is answered.
     Stop,
-    /// Places are short, and another client needs this one.
+    /// The connection limit is reached, and another client needs the place.
     Room,
 }
 
-/// What happens to a connection.
+/// An event on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Event {
-    /// Bytes have been read while no request was open.
+    /// Bytes have been read while no request was being processed.
     Came,
-    /// The head of a request has come.
+    /// The head of a request has been received completely.
     Taken,
-    /// The answer has been handed over; `ahead` if something of a next request has been read by then.
+    /// The answer has been handed over for writing.
     Answered {
-        /// Whether it has.
+        /// Whether data of a next (pipelined) request has been read already.
         ahead: bool,
     },
     /// The process wants the connection closed.
     Told(Why),
-    /// A head has had all the time that it may take.
+    /// The deadline for receiving a head has passed.
     Overdue,
-    /// The client has taken nothing of what lies there for it for too long.
+    /// The client has not read any of the data written to it for too long.
     Stuck,
-    /// What a look found: whether something lies unread.
+    /// The result of the check for unread data.
     Looked {
-        /// Whether it does.
+        /// Whether the receive buffer contains unread data.
         unread: bool,
     },
     /// The client has closed, or the connection has broken.
     Gone,
 }
 
-/// What is to be done with a connection.
+/// An action on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Action {
-    /// Look at once whether something lies unread in the machine, and tell.
+    /// Check the socket's receive buffer for unread data at once, and report it as [`Event::Looked`].
     Look,
-    /// The next answer on it, or the one under way, says that it is the last.
+    /// Mark the next answer, or the one being processed, as the last one on the connection.
     LastAnswer,
-    /// Its head gets its time once more: it was this process that did not read.
+    /// Restart the deadline of its head: data has arrived that this process had not read.
     Again,
-    /// Close it, once what is being written has gone.
+    /// Close it once all pending data has been written.
     Shut,
-    /// Close it now, whatever is under way.
+    /// Close it at once, in any state.
     Cut,
 }
 
-/// One connection.
+/// The state machine of one client connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Connection {
     stage: Stage,
-    /// It is to be closed as soon as nothing is owed.
-    told: bool,
-    /// A look is asked for because it is overdue.
+    /// It is to be closed as soon as that loses no request.
+    close_requested: bool,
+    /// The check for unread data was requested because the head's deadline has passed.
     overdue: bool,
-    /// The present head has been given its time a second time.
-    spared: bool,
-    /// What has come of the present head came behind the request before, and may be whole.
-    behind: bool,
-    /// A look is asked for because places are short.
-    pressed: bool,
+    /// The deadline of the current head has been restarted already.
+    deadline_restarted: bool,
+    /// Data of the current head was read together with the previous request, and may be a complete request.
+    pipelined: bool,
+    /// The check for unread data was requested because another client needs the place.
+    place_requested: bool,
 }
 
 impl Default for Connection {
     fn default() -> Self {
         Connection {
             stage: Stage::Fresh,
-            told: false,
+            close_requested: false,
             overdue: false,
-            spared: false,
-            behind: false,
-            pressed: false,
+            deadline_restarted: false,
+            pipelined: false,
+            place_requested: false,
         }
     }
 }
 
 impl Connection {
-    /// What is under way on it.
+    /// Its state.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether it is to be closed with its next answer.
+    /// Whether closing was requested, so that its next answer is its last.
     pub fn told(&self) -> bool {
-        self.told
+        self.close_requested
     }
 
-    /// Takes an event; what is to be done, if anything.
+    /// Applies an event. Returns the action to execute, if any.
     pub fn on(&mut self, event: Event) -> Option<Action> {
         use Stage::*;
         match (self.stage, event) {
@@ -123,37 +123,41 @@
             }
             (Head | InWork, Event::Came) => None,
             (_, Event::Taken) => {
-                *self = Connection { stage: InWork, told: self.told, ..Connection::default() };
-                self.told.then_some(Action::LastAnswer)
+                *self = Connection {
+                    stage: InWork,
+                    close_requested: self.close_requested,
+                    ..Connection::default()
+                };
+                self.close_requested.then_some(Action::LastAnswer)
             }
-            // The answer that said so ends it.
-            (_, Event::Answered { .. }) if self.told => self.closing(None),
-            // Danger: behind an answer the next request may have been read whole, and nothing of it lies in the machine.
+            // The answer was marked as the last one.
+            (_, Event::Answered { .. }) if self.close_requested => self.closing(None),
+            // A pipelined request may have been read completely already, so that the receive buffer is empty.
             (_, Event::Answered { ahead }) => {
-                (self.stage, self.behind) = (if ahead { Head } else { Idle }, ahead);
+                (self.stage, self.pipelined) = (if ahead { Head } else { Idle }, ahead);
                 None
             }
             (Fresh | Idle, Event::Told(_)) => {
-                self.told = true;
+                self.close_requested = true;
                 Some(Action::Look)
             }
-            // Danger: heads that never end would hold all places. No request has been taken yet, so one in part may go
-            // where another client needs its place.
-            (Head, Event::Told(Why::Room)) if !self.behind => {
-                (self.told, self.pressed) = (true, true);
+            // Heads that never end could occupy all places. An incomplete head is not an accepted request, so its connection may be
+            // closed if another client needs the place.
+            (Head, Event::Told(Why::Room)) if !self.pipelined => {
+                (self.close_requested, self.place_requested) = (true, true);
                 Some(Action::Look)
             }
-            // Danger: what has come in part may be whole in a moment, and closing would lose it.
+            // The incomplete head may be completed in a moment, and closing would lose that request.
             (Head, Event::Told(_)) => {
-                self.told = true;
+                self.close_requested = true;
                 None
             }
             (InWork, Event::Told(_)) => {
-                self.told = true;
+                self.close_requested = true;
                 Some(Action::LastAnswer)
             }
             (InWork, Event::Overdue) => None,
-            // Danger: a process that stood still finds a head overdue that lies there whole.
+            // After a stall of this process, a head can miss its deadline though it is complete in the receive buffer.
             (Fresh | Idle | Head, Event::Overdue) => {
                 self.overdue = true;
                 Some(Action::Look)
@@ -163,19 +167,20 @@
     }
 
     fn looked(&mut self, unread: bool) -> Option<Action> {
-        let (overdue, pressed) = (std::mem::take(&mut self.overdue), std::mem::take(&mut self.pressed));
+        let (overdue, place_requested) =
+            (std::mem::take(&mut self.overdue), std::mem::take(&mut self.place_requested));
         match self.stage {
             Stage::InWork | Stage::Closing => None,
-            // Danger: a client that sends a byte now and then would hold its place for ever; once is enough.
-            _ if overdue && unread && !self.spared => {
-                self.spared = true;
+            // The deadline is restarted only once: a client that sends a byte now and then could keep its place forever.
+            _ if overdue && unread && !self.deadline_restarted => {
+                self.deadline_restarted = true;
                 Some(Action::Again)
             }
             _ if overdue => self.closing(Some(Action::Cut)),
-            Stage::Head if pressed && !unread => self.closing(Some(Action::Cut)),
+            Stage::Head if place_requested && !unread => self.closing(Some(Action::Cut)),
             Stage::Head => None,
             Stage::Fresh | Stage::Idle if unread => None,
-            Stage::Fresh | Stage::Idle if self.told => self.closing(Some(Action::Shut)),
+            Stage::Fresh | Stage::Idle if self.close_requested => self.closing(Some(Action::Shut)),
             Stage::Fresh | Stage::Idle => None,
         }
     }
@@ -203,44 +208,44 @@
     const ANSWERED: Event = Event::Answered { ahead: false };
 
     #[test]
-    fn an_idle_connection_is_closed_only_if_nothing_lies_unread() {
+    fn an_idle_connection_is_closed_only_if_nothing_is_unread() {
         for before in [&[][..], &[Event::Came, Event::Taken, ANSWERED]] {
             let mut quiet = after(before);
             assert_eq!(quiet.on(STOP), Some(Action::Look));
             assert_eq!(quiet.on(Event::Looked { unread: false }), Some(Action::Shut));
-            let mut crossed = after(before);
-            assert_eq!(crossed.on(STOP), Some(Action::Look));
-            assert_eq!(crossed.on(Event::Looked { unread: true }), None);
-            assert_eq!(crossed.on(Event::Came), None);
-            assert_eq!(crossed.on(Event::Taken), Some(Action::LastAnswer));
-            assert_eq!(crossed.on(ANSWERED), None);
-            assert_eq!(crossed.stage(), Stage::Closing);
+            let mut with_unread_data = after(before);
+            assert_eq!(with_unread_data.on(STOP), Some(Action::Look));
+            assert_eq!(with_unread_data.on(Event::Looked { unread: true }), None);
+            assert_eq!(with_unread_data.on(Event::Came), None);
+            assert_eq!(with_unread_data.on(Event::Taken), Some(Action::LastAnswer));
+            assert_eq!(with_unread_data.on(ANSWERED), None);
+            assert_eq!(with_unread_data.stage(), Stage::Closing);
         }
     }
 
     #[test]
-    fn a_head_that_has_begun_is_waited_for_until_it_is_overdue() {
-        let mut half = after(&[Event::Came]);
-        assert_eq!(half.on(STOP), None);
-        assert_eq!(half.on(Event::Overdue), Some(Action::Look));
-        assert_eq!(half.on(Event::Looked { unread: false }), Some(Action::Cut));
-        let mut whole = after(&[Event::Came, STOP]);
-        assert_eq!(whole.on(Event::Taken), Some(Action::LastAnswer));
+    fn an_incomplete_head_is_waited_for_until_its_deadline() {
+        let mut incomplete = after(&[Event::Came]);
+        assert_eq!(incomplete.on(STOP), None);
+        assert_eq!(incomplete.on(Event::Overdue), Some(Action::Look));
+        assert_eq!(incomplete.on(Event::Looked { unread: false }), Some(Action::Cut));
+        let mut complete = after(&[Event::Came, STOP]);
+        assert_eq!(complete.on(Event::Taken), Some(Action::LastAnswer));
     }
 
     #[test]
-    fn a_head_in_part_makes_room_unless_its_rest_lies_unread() {
-        let mut half = after(&[Event::Came]);
-        assert_eq!(half.on(ROOM), Some(Action::Look));
-        assert_eq!(half.on(Event::Looked { unread: false }), Some(Action::Cut));
-        let mut whole = after(&[Event::Came]);
-        assert_eq!(whole.on(ROOM), Some(Action::Look));
-        assert_eq!(whole.on(Event::Looked { unread: true }), None);
-        assert_eq!(whole.on(Event::Taken), Some(Action::LastAnswer), "and its answer frees the place");
+    fn an_incomplete_head_is_closed_for_another_client_unless_its_rest_is_unread() {
+        let mut incomplete = after(&[Event::Came]);
+        assert_eq!(incomplete.on(ROOM), Some(Action::Look));
+        assert_eq!(incomplete.on(Event::Looked { unread: false }), Some(Action::Cut));
+        let mut complete = after(&[Event::Came]);
+        assert_eq!(complete.on(ROOM), Some(Action::Look));
+        assert_eq!(complete.on(Event::Looked { unread: true }), None);
+        assert_eq!(complete.on(Event::Taken), Some(Action::LastAnswer), "its answer frees the place");
     }
 
     #[test]
-    fn what_lay_unread_while_the_process_stood_still_is_spared_once() {
+    fn the_deadline_is_restarted_once_if_data_was_unread() {
         let mut late = after(&[]);
         assert_eq!(late.on(Event::Overdue), Some(Action::Look));
         assert_eq!(late.on(Event::Looked { unread: true }), Some(Action::Again));
@@ -250,20 +255,24 @@
     }
 
     #[test]
-    fn a_request_read_behind_an_answer_is_not_closed_on() {
-        let mut piped = after(&[Event::Came, Event::Taken, Event::Answered { ahead: true }]);
-        assert_eq!(piped.stage(), Stage::Head);
-        assert_eq!((piped.on(ROOM), piped.on(STOP)), (None, None), "it may be whole");
-        assert_eq!(piped.on(Event::Taken), Some(Action::LastAnswer));
+    fn a_connection_with_a_pipelined_request_is_not_closed() {
+        let mut pipelining = after(&[Event::Came, Event::Taken, Event::Answered { ahead: true }]);
+        assert_eq!(pipelining.stage(), Stage::Head);
+        assert_eq!(
+            (pipelining.on(ROOM), pipelining.on(STOP)),
+            (None, None),
+            "the pipelined request may be complete"
+        );
+        assert_eq!(pipelining.on(Event::Taken), Some(Action::LastAnswer));
     }
 
     #[test]
-    fn a_client_that_does_not_take_its_answer_is_cut_and_one_that_waits_is_not() {
+    fn a_client_that_does_not_read_its_answer_is_closed_and_a_waiting_one_is_not() {
         let mut slow = after(&[Event::Came, Event::Taken]);
         assert_eq!(slow.on(STOP), Some(Action::LastAnswer));
-        assert_eq!(slow.on(Event::Overdue), None, "a head's time says nothing of an answer's");
+        assert_eq!(slow.on(Event::Overdue), None, "the deadline of heads does not apply to answers");
         assert_eq!(slow.on(ANSWERED), None);
-        assert_eq!((slow.on(STOP), slow.on(Event::Taken)), (None, None), "nothing more begins on it");
+        assert_eq!((slow.on(STOP), slow.on(Event::Taken)), (None, None), "no further request is accepted");
         assert_eq!(slow.on(Event::Stuck), Some(Action::Cut));
     }
 }
--- a/crates/succession/src/lib.rs
+++ b/crates/succession/src/lib.rs
@@ -1,9 +1,10 @@
-//! How one process of a node follows another, and what each owes its clients: decisions alone, no I/O, no clock.
+//! The handover from one process of a node to its successor without failing client requests. Pure state machines: no I/O and no
+//! clock.
 //!
-//! [`process`] is the life of a process, [`connection`] that of one client's connection in it. [`claims`] shares one limit of
-//! descriptors, [`places`] says who gets them within a process and what it gives back, [`held`] is the set of app servers that operators hold out. What a process tells the others is its
-//! [`record`]; [`view`] makes one picture of all the records that were found, whatever state they are in, and [`peer`] is one
-//! process's part in that.
+//! [`process`] is the lifecycle of a process, and [`connection`] that of a client connection. [`claims`] divides one limit of file
+//! descriptors among the processes of a node; [`places`] divides a process's share between clients and app servers. [`held`] is the
+//! set of app servers that operators have excluded. Each process writes its state to a [`record`]; [`view`] combines all records
+//! that are found, damaged ones included, and [`peer`] is the state that one process contributes.
 
 pub mod claims;
 pub mod connection;
--- a/crates/succession/src/peer.rs
+++ b/crates/succession/src/peer.rs
@@ -1,4 +1,4 @@
-//! What one process knows and tells the others: looks, calls, claims, and what a failed write takes back.
+//! The state that one process shares with the others: its claim, the exclusions, and what happens if a write of its record fails.
 
 use serde_json::Value;
 
@@ -7,25 +7,25 @@
 use crate::record::{Learned, Life, Record, Standing};
 use crate::view::View;
 
-/// One process among those that share an address.
+/// One of the processes that share an address.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Peer {
     life: Life,
-    /// What it claimed when its record was written last, if it ever was: the others know no more.
-    known: Option<usize>,
+    /// The claim in its last written record, which is what the others can read; `None` if none was written.
+    written_claim: Option<usize>,
     held: HeldOut,
     learned: Option<Learned>,
     doubt: bool,
 }
 
 impl Peer {
-    /// One that has just begun. It claims nothing yet.
+    /// A process that has just started. It claims nothing yet.
     pub fn new(process: u32) -> Peer {
         let life = Life { process, standing: Standing::Coming, descriptors: 0 };
-        Peer { life, known: None, held: HeldOut::default(), learned: None, doubt: false }
+        Peer { life, written_claim: None, held: HeldOut::default(), learned: None, doubt: false }
     }
 
-    /// Takes in what the others tell; whether who is held out has changed.
+    /// Merges the others' records. Returns whether the exclusions have changed.
     pub fn take(&mut self, view: &View) -> bool {
         self.doubt = view.doubt;
         if let Some(theirs) = &view.learned {
@@ -36,32 +36,32 @@
         self.held.merge(&view.held)
     }
 
-    /// Claims descriptors beside the others. Only one process may be at it at a time, from its look at the others to the end
-    /// of its write.
+    /// Computes the claim from the others' claims. Only one process at a time may do this, from reading the others' records until
+    /// its own record has been written.
     pub fn claims(&mut self, limit: usize, standing: Standing, used: usize, view: &View) {
         self.life.standing = standing;
         self.life.descriptors = claim(limit, used, standing == Standing::Leaves, &view.claims);
     }
 
-    /// The record has been written, or could not be. Danger: a claim that the others can't read is none; it may shrink, but
-    /// what they count with must not be passed. Of one that has never written that is an equal part, and nothing is owed to
-    /// others if there are none.
+    /// Takes the result of writing the record. A claim that the others can't read doesn't count: after a failed write it may
+    /// shrink, but must not exceed what they assume. For a process that has never written a record, that is half of the limit,
+    /// or all of it if there are no others.
     pub fn written(&mut self, well: bool, used: usize, limit: usize, view: &View) {
         if well {
-            self.known = Some(self.life.descriptors);
+            self.written_claim = Some(self.life.descriptors);
             return;
         }
-        let most = match self.known {
+        let max_claim = match self.written_claim {
             Some(known) => known,
             None if view.claims.is_empty() => limit,
             None => limit / 2,
         };
-        self.life.descriptors = self.life.descriptors.min(most).max(used);
+        self.life.descriptors = self.life.descriptors.min(max_claim).max(used);
     }
 
-    /// Takes a call, after a look at the others, and writes. Danger: a call back that could not be written must not hold: it
-    /// would come out later and undo a call out that another process has said yes to since. A call out holds here all the
-    /// same, and is told to the others as soon as it can be.
+    /// Executes an operator's call and writes the record; the others' records must have been merged before. An inclusion that could
+    /// not be written is undone: it would be written later, and undo an exclusion that another process has confirmed since. An
+    /// exclusion stays in effect here all the same, and reaches the others with the next successful write.
     pub fn call<E>(
         &mut self,
         name: &str,
@@ -78,32 +78,32 @@
         written
     }
 
-    /// Keeps what was learned.
+    /// Stores what this process has learned.
     pub fn keep(&mut self, at: UnixMs, of: Value) {
         self.learned = Some(Learned { at, of });
     }
 
-    /// Forgets who came back before `until` and is listed no more.
+    /// Removes marks as [`HeldOut::forget`] does.
     pub fn forget(&mut self, until: UnixMs, listed: impl Fn(&str) -> bool) {
         self.held.forget(until, listed);
     }
 
-    /// Who is held out.
+    /// The excluded app servers.
     pub fn held(&self) -> &HeldOut {
         &self.held
     }
 
-    /// What was learned last by any process.
+    /// What any process has learned last.
     pub fn learned(&self) -> Option<&Learned> {
         self.learned.as_ref()
     }
 
-    /// The descriptors that it may hold.
+    /// The descriptors that this process may have open.
     pub fn descriptors(&self) -> usize {
         self.life.descriptors
     }
 
-    /// What it tells.
+    /// The record to be written.
     pub fn record(&self) -> Record {
         Record { life: self.life, held: self.held.clone(), learned: self.learned.clone() }
     }
@@ -117,7 +117,10 @@
 
     #[test]
     fn a_claim_that_could_not_be_written_does_not_grow() {
-        let beside = |most| View { claims: vec![Claim { most, leaves: false }], ..View::default() };
+        let beside = |max_descriptors| View {
+            claims: vec![Claim { max_descriptors, leaves: false }],
+            ..View::default()
+        };
         let alone = View::default();
         let mut peer = Peer::new(1);
         let claims = |peer: &mut Peer, well, view: &View| {
@@ -126,14 +129,14 @@
             peer.descriptors()
         };
         assert_eq!(claims(&mut peer, true, &beside(0)), 192);
-        assert_eq!(claims(&mut peer, false, &alone), 192, "who comes next would count with that");
+        assert_eq!(claims(&mut peer, false, &alone), 192, "a new process would rely on the written claim");
         assert_eq!(
             claims(&mut peer, false, &beside(300)),
             84,
-            "it may shrink, though the others do not know"
+            "it may shrink, though the others can't read that"
         );
         assert_eq!(claims(&mut peer, true, &alone), 384);
-        // Never written: the others count with an equal part, and a next one with all.
+        // Never written: half of the limit beside another process, and all of it alone.
         let mut new = Peer::new(2);
         assert_eq!(claims(&mut new, false, &alone), 384);
         assert_eq!(claims(&mut new, false, &beside(100)), 192);
@@ -141,7 +144,7 @@
     }
 
     #[test]
-    fn a_call_back_that_could_not_be_written_does_not_hold_and_a_call_out_does() {
+    fn an_inclusion_that_could_not_be_written_is_undone_and_an_exclusion_is_not() {
         let mut peer = Peer::new(1);
         assert_eq!(peer.call("a", Call::Exclude, 1, |_| Err("full")), Err("full"));
         assert!(peer.held().holds("a"));
@@ -153,7 +156,7 @@
     }
 
     #[test]
-    fn the_newest_of_what_was_learned_is_kept() {
+    fn the_newest_learned_value_wins() {
         let mut peer = Peer::new(1);
         peer.keep(5, json!("mine"));
         let of = |at| View { learned: Some(Learned { at, of: json!("theirs") }), ..View::default() };
--- a/crates/succession/src/places.rs
+++ b/crates/succession/src/places.rs
@@ -1,83 +1,83 @@
-//! The places of one process, each a connection: how many clients may hold, and what a process gives back beside another.
+//! How one process divides its connections between clients and app servers, and which it closes for the benefit of another process.
 //!
-//! While one process follows another, clients move from the one to the other within one answer each. What the old one still
-//! holds then, the new one lacks: it would turn out one client for each that comes, who comes again.
+//! During a handover, each client moves to the new process after one more answer. Descriptors that the old process keeps are missing
+//! at the new one, which would have to close one client's connection for each arriving client, and those clients would reconnect.
 
 use crate::claims::{slack, wanted};
 use crate::process::Others;
 use crate::record::Standing;
 
-/// The least part of a process's places that is left for app servers, as one in so many.
-const FOR_SERVERS: usize = 5;
-/// A process that leaves may get one request more on each connection. So many of them keep one idle connection to app
-/// servers, and there are always a few.
-const CLIENTS_TO_A_LINE: usize = 4;
-const LINES_LEAST: usize = 4;
+/// At least one in this many of a process's connections is reserved for app servers.
+const SERVER_SHARE_DIVISOR: usize = 5;
+/// A leaving process may get one more request on each client connection. It keeps one idle connection to app servers per this
+/// many clients, and always the minimum below.
+const CLIENTS_PER_IDLE_SERVER: usize = 4;
+const MIN_IDLE_SERVERS: usize = 4;
 
-/// What a process holds, in descriptors.
+/// The descriptors in use by a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holds {
-    /// All, with those that it keeps back for itself.
+    /// All of them, with those that it reserves for its own purposes.
     pub all: usize,
-    /// Connections to app servers that requests are open on.
+    /// Connections to app servers with an open request.
     pub busy_servers: usize,
     /// Clients' connections.
     pub clients: usize,
-    /// Connections to app servers that stand idle.
+    /// Idle connections to app servers.
     pub idle_servers: usize,
 }
 
-/// Who stands beside a process.
+/// The state of a process and of those beside it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Side {
-    /// Where it stands itself.
+    /// Its own standing.
     pub standing: Standing,
-    /// Where the others do.
+    /// The other processes, counted by standing.
     pub others: Others,
-    /// That has been so for a while.
+    /// This has not changed for a while.
     pub settled: bool,
 }
 
-/// What a process is to close.
+/// The connections that a process is to close.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GiveBack {
     /// Idle connections to app servers.
     pub servers: usize,
-    /// Clients' connections that nothing is owed on.
+    /// Client connections that can be closed without losing a request.
     pub clients: usize,
 }
 
-/// How many of its `slots` clients may hold. Alone it is their `share` of all; beside another it is the share of what the
-/// node has as a `whole`, since the clients are the whole node's, and app servers keep a part of what is left.
+/// How many of a process's `slots` connections clients may use: the `share` of the connections of the `whole` node, since all clients
+/// of the node may move to this process, but so that a part of `slots` is left for app servers.
 pub fn for_clients(whole: usize, slots: usize, share: f64) -> usize {
-    let alone = (whole as f64 * share) as usize;
-    let most = ((slots as f64 * share) as usize).max(slots - slots / FOR_SERVERS);
-    // A process that holds next to nothing lets in two all the same.
-    alone.min(most).max(2)
+    let of_node = (whole as f64 * share) as usize;
+    let max_clients = ((slots as f64 * share) as usize).max(slots - slots / SERVER_SHARE_DIVISOR);
+    // A process with hardly any descriptors accepts two clients nevertheless.
+    of_node.min(max_clients).max(2)
 }
 
-/// What a process is to close that may hold `claim` of `limit`. What is idle goes back where another needs it: to app
-/// servers first, for nobody misses those. A client that is told to close comes again, and costs whoever takes it a
-/// connection: these go only where the process beside it can't begin without, where it holds more than it may, and where
-/// both have gone on serving for a while, with nobody told to leave (`settled`): then they share alike.
+/// The connections that a process with a claim of `claim` out of `limit` descriptors is to close for the others. Idle connections to
+/// app servers are closed first, since no client notices. A client whose connection is closed reconnects, and needs a connection
+/// elsewhere, so client connections are closed only if another process can't start to serve otherwise, if this process exceeds its
+/// claim, or if both processes have been serving for a while without a request to stop (`settled`): then they share equally.
 pub fn gives_back(limit: usize, claim: usize, holds: Holds, side: Side) -> GiveBack {
     let Side { standing, others, settled } = side;
     let Holds { all, busy_servers, clients, idle_servers } = holds;
     if standing == Standing::Leaves {
-        let kept = (clients / CLIENTS_TO_A_LINE).max(LINES_LEAST);
-        // Without a successor what it holds is in nobody's way.
+        let kept = (clients / CLIENTS_PER_IDLE_SERVER).max(MIN_IDLE_SERVERS);
+        // Without a successor nobody needs its descriptors.
         let servers = if others.serving > 0 { idle_servers.saturating_sub(kept) } else { 0 };
         return GiveBack { servers, clients: 0 };
     }
-    let need = match settled && others.serving > 0 {
+    let needed_by_others = match settled && others.serving > 0 {
         true => limit - limit / (others.serving + 1),
         false => others.coming * (wanted(limit) + slack(limit)),
     };
-    let room = limit.saturating_sub(need).min(claim);
-    let servers = all.saturating_sub(room).min(idle_servers);
-    // What is busy is idle in a moment, and goes back then.
+    let allowed = limit.saturating_sub(needed_by_others).min(claim);
+    let servers = all.saturating_sub(allowed).min(idle_servers);
+    // Busy connections to app servers will be idle in a moment and are closed then.
     let lasting = all.saturating_sub(busy_servers + idle_servers);
-    GiveBack { servers, clients: lasting.saturating_sub(room).min(clients) }
+    GiveBack { servers, clients: lasting.saturating_sub(allowed).min(clients) }
 }
 
 #[cfg(test)]
@@ -101,22 +101,22 @@
     const KEPT: usize = 37;
 
     #[test]
-    fn alone_clients_have_their_share_and_beside_another_nearly_as_many() {
+    fn clients_get_their_share_alone_and_nearly_as_much_beside_another_process() {
         assert_eq!(for_clients(299, 299, 0.6), 179);
-        assert_eq!(for_clients(299, 131, 0.6), 105, "78 by its own part alone");
-        assert_eq!(for_clients(299, 131, 0.9), 117, "a larger share is the operator's own will");
-        assert_eq!(for_clients(299, 131, 0.1), 29, "and a smaller one holds for all together");
+        assert_eq!(for_clients(299, 131, 0.6), 105, "its own share alone would be 78");
+        assert_eq!(for_clients(299, 131, 0.9), 117, "a larger share set by the operator applies");
+        assert_eq!(for_clients(299, 131, 0.1), 29, "a smaller share applies to the whole node");
         assert_eq!(for_clients(299, 0, 0.6), 2);
     }
 
     #[test]
-    fn idle_lines_go_first_and_clients_only_where_nobody_can_begin_without() {
+    fn idle_connections_are_closed_first_and_clients_only_if_necessary() {
         let busy = Holds { all: 264, busy_servers: 7, clients: 120, idle_servers: 100 };
         let back = |holds, others| gives_back(LIMIT, 264, holds, serves(others));
         assert_eq!(back(busy, ALONE), GiveBack::default());
         assert_eq!(back(busy, COMING), GiveBack { servers: 33, clients: 0 });
-        let worked = Holds { busy_servers: 107, idle_servers: 0, ..busy };
-        assert_eq!(back(worked, COMING), GiveBack::default(), "they are idle in a moment");
+        let working = Holds { busy_servers: 107, idle_servers: 0, ..busy };
+        assert_eq!(back(working, COMING), GiveBack::default(), "busy connections will be idle in a moment");
         let crowd = Holds { all: 264, busy_servers: 10, clients: 217, idle_servers: 0 };
         assert_eq!(back(crowd, COMING), GiveBack { servers: 0, clients: 23 });
         assert_eq!(back(crowd, BESIDE), GiveBack::default());
@@ -124,11 +124,11 @@
         assert_eq!(gives_back(LIMIT, 264, busy, settled), GiveBack { servers: 96, clients: 0 });
         assert_eq!(gives_back(LIMIT, 264, crowd, settled), GiveBack { servers: 0, clients: 86 });
         let over = gives_back(LIMIT, 200, busy, serves(ALONE));
-        assert_eq!(over, GiveBack { servers: 64, clients: 0 }, "more than it may hold");
+        assert_eq!(over, GiveBack { servers: 64, clients: 0 }, "it exceeds its claim");
     }
 
     #[test]
-    fn one_that_leaves_keeps_lines_for_those_who_may_still_ask() {
+    fn a_leaving_process_keeps_idle_connections_for_last_requests() {
         let holds = |clients| Holds { all: 264, busy_servers: 0, clients, idle_servers: 100 };
         let back = |clients, others| gives_back(LIMIT, 264, holds(clients), leaves(others));
         assert_eq!(back(120, BESIDE), GiveBack { servers: 70, clients: 0 });
@@ -138,10 +138,10 @@
 
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(1_000))]
-        /// Clients that move from a process that leaves to the next one find a place there, whatever had been idle where,
-        /// as long as both have looked since.
+        /// Clients that move from a leaving process to its successor find a place there, whatever connections were idle, once both
+        /// processes have updated their claims.
         #[test]
-        fn who_moves_finds_a_place(clients in 1usize..150, moved in 0usize..150, in_work in 0usize..40, idle in 0usize..120) {
+        fn moving_clients_find_a_place(clients in 1usize..150, moved in 0usize..150, in_work in 0usize..40, idle in 0usize..120) {
             let moved = moved.min(clients);
             let stay = clients - moved;
             let in_work = in_work.min(stay);
@@ -150,16 +150,16 @@
             };
             prop_assume!(holds.all <= LIMIT);
             let back = gives_back(LIMIT, holds.all, holds, leaves(BESIDE));
-            let left = claim(LIMIT, holds.all - back.servers, true, &[Claim { most: 0, leaves: false }]);
-            let next = claim(LIMIT, 0, false, &[Claim { most: left, leaves: true }]);
+            let left = claim(LIMIT, holds.all - back.servers, true, &[Claim { max_descriptors: 0, leaves: false }]);
+            let next = claim(LIMIT, 0, false, &[Claim { max_descriptors: left, leaves: true }]);
             let places = for_clients(LIMIT - KEPT, next.saturating_sub(KEPT), 0.6);
             prop_assert!(places >= moved.min(120), "{} places for {}", places, moved);
         }
 
-        /// Whatever a process holds, one that comes gets what it needs to begin once what is idle, and what was busy, has
-        /// been given back.
+        /// Whatever connections a process has, a starting one gets the descriptors that it needs once idle connections, and those
+        /// that were busy, have been closed.
         #[test]
-        fn who_comes_can_begin(clients in 0usize..290, idle in 0usize..180, in_work in 0usize..20) {
+        fn a_starting_process_can_begin_to_serve(clients in 0usize..290, idle in 0usize..180, in_work in 0usize..20) {
             let in_work = in_work.min(clients);
             let mut holds = Holds { all: KEPT + clients + in_work + idle, busy_servers: in_work, clients, idle_servers: idle };
             prop_assume!(holds.all <= LIMIT);
@@ -171,7 +171,7 @@
                 holds.clients -= back.clients;
             }
             let left = holds.all;
-            let mine = claim(LIMIT, left, false, &[Claim { most: 0, leaves: false }]);
+            let mine = claim(LIMIT, left, false, &[Claim { max_descriptors: 0, leaves: false }]);
             prop_assert!(enough(LIMIT - mine, LIMIT), "{} of {}", mine, LIMIT);
         }
     }
--- a/crates/succession/src/process.rs
+++ b/crates/succession/src/process.rs
@@ -1,133 +1,139 @@
-//! The life of a process: when it takes clients, what it does when it is told to stop, and when it may end.
+//! The lifecycle of a process: when it accepts clients, what it does on a request to stop, and when it may exit.
 //!
-//! A process starts alone or beside another, serves, and leaves. What it must not do: leave its clients without anybody who
-//! accepts, accept more than it has places for while another could, or end while something that was taken is open.
+//! A process starts alone or beside another one, serves, and leaves. It must not stop accepting while no other process accepts,
+//! accept more clients than it has descriptors for while another process could accept them, or exit before accepted requests are
+//! answered.
 
-/// How many other processes are where in their lives.
+/// The number of other processes in each state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Others {
-    /// They do not take clients yet, or can't be known.
+    /// Processes that don't serve yet, or whose state is unknown.
     pub coming: usize,
-    /// They take clients.
+    /// Processes that serve.
     pub serving: usize,
-    /// They stop.
+    /// Processes that are stopping.
     pub leaving: usize,
 }
 
-/// Where a process is in its life.
+/// The phase of a process, with its obligations to clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has not said yes yet. Owed to clients: nothing, unless it accepts.
+    /// It has not reported that it is ready. No obligation, unless it accepts already.
     Starting,
-    /// It takes clients. Owed: an answer to each request.
+    /// It serves. It must answer each request.
     Serving,
-    /// Told to stop; connections that are open may be used once more. Owed: an answer to each request, and somebody who
-    /// accepts.
+    /// It was requested to stop; each open connection may be used once more. It must answer each request, and accept connections
+    /// if no other process does.
     Leaving,
-    /// Idle connections are closed, leases handed back. Owed: the answers that are open.
+    /// Idle connections are being closed and leases returned. It must answer the requests that are open.
     Draining,
-    /// What was open has failed. Owed: the time to write that.
+    /// The open requests have been failed. It must stay long enough to write those answers.
     Failing,
-    /// It has ended.
+    /// It has exited.
     Gone,
 }
 
-/// What a process waits for; how long is not decided here.
+/// The timers of a process. The caller defines their durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Timer {
-    /// For its first list of app servers.
+    /// Waiting for the first list of app servers.
     List,
-    /// For descriptors that another process still holds.
+    /// Waiting for descriptors that another process still uses.
     Room,
-    /// Without a successor: until idle connections are closed.
+    /// Leaving without a successor: until idle connections are closed.
     Idle,
-    /// And from then on until it is deaf.
+    /// Leaving without a successor: from then on, until it stops accepting.
     Deaf,
-    /// With a successor: for the last requests on kept connections.
+    /// Leaving with a successor: waiting for the last requests on open connections.
     LastUse,
-    /// From SIGTERM on: for the answers that are open.
+    /// From the request to stop (SIGTERM): until open requests are failed.
     Patience,
-    /// After that: for writing that they have failed.
+    /// From then on: for writing these failures.
     Grace,
 }
 
-/// What happens to a process.
+/// An event for a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Event {
-    /// The list of app servers has been heard.
+    /// The list of app servers has been received.
     Heard,
-    /// It has descriptors to serve with, or has not.
+    /// Whether it has enough descriptors to serve.
     Room(bool),
-    /// Where the other processes are.
+    /// The current states of the other processes.
     Others(Others),
-    /// A timer that was started has run out.
+    /// A timer has expired.
     Over(Timer),
-    /// It is told to stop.
+    /// It is requested to stop.
     Terminate,
-    /// A look at what is open, while it drains or fails.
+    /// The open work, reported repeatedly while it is draining or failing.
     Open {
-        /// A request waits for its answer.
+        /// Whether any request is unanswered.
         waited_for: bool,
-        /// So many clients are connected.
+        /// The number of connected clients.
         clients: usize,
-        /// No call to the shared counts is out.
+        /// Whether no call to the shared quota counters is in flight.
         settled: bool,
     },
 }
 
-/// What a process is to do.
+/// An action for a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Action {
-    /// Accept connections.
+    /// Start to accept connections.
     Accept,
-    /// Accept no more; a socket of its own is emptied before.
+    /// Stop accepting. If the listening socket is its own, accept the connections in its backlog first.
     Deafen,
-    /// Say that it takes clients, or that it does not.
+    /// Report whether it is ready to serve clients.
     Ready(bool),
-    /// Tell all connections to close as soon as nothing is owed on them.
+    /// Request all connections to close as soon as no request on them can be lost.
     CloseIdle,
-    /// Hand the leases back.
+    /// Return all leases.
     HandBack,
-    /// What is open has failed.
+    /// Fail all open requests.
     FailAll,
     /// Start a timer.
     Start(Timer),
-    /// End.
+    /// Exit.
     End,
 }
 
-/// The life of one process.
+/// The state machine of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Process {
     phase: Phase,
-    /// Its listening socket is held by whoever starts the processes: what it does not accept another can.
-    handed_on: bool,
+    /// Its listening socket is shared: the service manager keeps it open, so another process can accept what this one doesn't.
+    shared_socket: bool,
     accepts: bool,
-    heard: bool,
-    room: bool,
+    list_received: bool,
+    has_descriptors: bool,
     others: Others,
-    /// It left with a successor there.
-    followed: bool,
+    /// It has seen a serving successor while leaving.
+    has_successor: bool,
 }
 
 impl Process {
-    /// One that starts. `room` is whether it has descriptors to serve with.
-    pub fn start(handed_on: bool, room: bool, others: Others, out: &mut Vec<Action>) -> Process {
+    /// Starts a process. `has_descriptors` is whether it has enough descriptors to serve.
+    pub fn start(
+        shared_socket: bool,
+        has_descriptors: bool,
+        others: Others,
+        out: &mut Vec<Action>,
+    ) -> Process {
         let mut process = Process {
             phase: Phase::Starting,
-            handed_on,
+            shared_socket,
             accepts: false,
-            heard: false,
-            room,
+            list_received: false,
+            has_descriptors,
             others,
-            followed: false,
+            has_successor: false,
         };
         out.extend([Action::Start(Timer::List), Action::Start(Timer::Room)]);
         process.starting(out);
         process
     }
 
-    /// Where it is in its life.
+    /// Its phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -137,16 +143,16 @@
         self.accepts
     }
 
-    /// Whether it wants looks at what is open.
+    /// Whether the caller must report the open work as [`Event::Open`].
     pub fn looks(&self) -> bool {
         matches!(self.phase, Phase::Draining | Phase::Failing)
     }
 
-    /// Takes an event; what is to be done is added to `out`.
+    /// Applies an event and appends the resulting actions to `out`.
     pub fn on(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Heard => self.heard = true,
-            Event::Room(room) => self.room = room,
+            Event::Heard => self.list_received = true,
+            Event::Room(has_descriptors) => self.has_descriptors = has_descriptors,
             Event::Others(others) => self.others = others,
             Event::Terminate => return self.terminate(out),
             Event::Over(timer) => self.over(timer, out),
@@ -163,15 +169,16 @@
         }
     }
 
-    /// Danger: beside another process it has a handful of places at first. What it accepted then it would have to turn back,
-    /// and the other could have served it.
+    /// Beside another process it has only a few descriptors at first. It would have to reject clients that it accepted then, although
+    /// the other process could have served them.
     fn starting(&mut self, out: &mut Vec<Action>) {
-        let beside = self.handed_on && self.others.serving > 0;
-        if !self.accepts && (self.room || !beside) {
+        let is_beside_serving = self.shared_socket && self.others.serving > 0;
+        if !self.accepts && (self.has_descriptors || !is_beside_serving) {
             self.accept(out);
         }
-        // Danger: upon this word the process before is stopped; the list that a node starts with may be old.
-        if self.accepts && self.heard && self.room {
+        // When this process is ready, its predecessor is stopped. It waits for the list of app servers before, since the one that a
+        // node starts with may be outdated.
+        if self.accepts && self.list_received && self.has_descriptors {
             self.phase = Phase::Serving;
             out.push(Action::Ready(true));
         }
@@ -183,38 +190,38 @@
         }
         self.phase = Phase::Leaving;
         out.extend([Action::Ready(false), Action::Start(Timer::Patience)]);
-        self.followed = self.handed_on && self.others.serving > 0;
-        if self.followed {
-            // Danger: what is accepted from here on would be turned back soon, and the next process serves it.
-            self.deafen(out);
+        self.has_successor = self.shared_socket && self.others.serving > 0;
+        if self.has_successor {
+            // Connections accepted from now on would have to be closed soon; the successor can serve them.
+            self.stop_accepting(out);
             out.push(Action::Start(Timer::LastUse));
         } else {
             out.push(Action::Start(Timer::Idle));
         }
     }
 
-    /// Danger: the process that said yes may have died since; until this one drains, somebody has to accept.
+    /// The successor may have died since it was ready. Until this process drains, it accepts again in that case.
     fn leaving(&mut self, out: &mut Vec<Action>) {
-        let followed = self.handed_on && self.others.serving > 0;
-        if followed && self.accepts {
-            // It had not heard of that one when it was told to stop, or another has come since.
-            if !std::mem::replace(&mut self.followed, true) {
+        let successor_serves = self.shared_socket && self.others.serving > 0;
+        if successor_serves && self.accepts {
+            // The successor was not known yet when this process was requested to stop, or has started since.
+            if !std::mem::replace(&mut self.has_successor, true) {
                 out.push(Action::Start(Timer::LastUse));
             }
-            self.deafen(out);
+            self.stop_accepting(out);
         }
-        if self.followed && !followed && !self.accepts {
+        if self.has_successor && !successor_serves && !self.accepts {
             self.accept(out);
         }
     }
 
     fn over(&mut self, timer: Timer, out: &mut Vec<Action>) {
         match (self.phase, timer) {
-            (Phase::Starting, Timer::List) => self.heard = true,
-            // It has waited for long enough: better a few places than none.
-            (Phase::Starting, Timer::Room) => self.room = true,
-            // The next process meets new connections, and those that are open may be used for longer.
-            (Phase::Leaving, Timer::Idle | Timer::Deaf) if self.followed => {}
+            (Phase::Starting, Timer::List) => self.list_received = true,
+            // It has waited long enough: serving with few descriptors is better than not serving.
+            (Phase::Starting, Timer::Room) => self.has_descriptors = true,
+            // The successor accepts new connections, and open ones may be used until `LastUse` expires.
+            (Phase::Leaving, Timer::Idle | Timer::Deaf) if self.has_successor => {}
             (Phase::Leaving, Timer::Idle) => out.extend([Action::CloseIdle, Action::Start(Timer::Deaf)]),
             (Phase::Leaving, Timer::Deaf | Timer::LastUse) => self.drain(out),
             (Phase::Leaving, Timer::Patience) => {
@@ -228,7 +235,7 @@
     }
 
     fn drain(&mut self, out: &mut Vec<Action>) {
-        self.deafen(out);
+        self.stop_accepting(out);
         self.phase = Phase::Draining;
         out.extend([Action::HandBack, Action::CloseIdle]);
     }
@@ -248,7 +255,7 @@
         out.push(Action::Accept);
     }
 
-    fn deafen(&mut self, out: &mut Vec<Action>) {
+    fn stop_accepting(&mut self, out: &mut Vec<Action>) {
         if std::mem::take(&mut self.accepts) {
             out.push(Action::Deafen);
         }
@@ -263,9 +270,9 @@
     const ALONE: Others = Others { coming: 0, serving: 0, leaving: 0 };
     const BESIDE: Others = Others { coming: 0, serving: 1, leaving: 0 };
 
-    fn started(handed_on: bool, room: bool, others: Others) -> (Process, Vec<Action>) {
+    fn started(shared_socket: bool, has_descriptors: bool, others: Others) -> (Process, Vec<Action>) {
         let mut out = Vec::new();
-        let process = Process::start(handed_on, room, others, &mut out);
+        let process = Process::start(shared_socket, has_descriptors, others, &mut out);
         (process, out)
     }
 
@@ -275,12 +282,12 @@
         out
     }
 
-    const QUIET: Event = Event::Open { waited_for: false, clients: 0, settled: true };
+    const NOTHING_OPEN: Event = Event::Open { waited_for: false, clients: 0, settled: true };
 
     #[test]
-    fn alone_it_accepts_at_once_and_says_yes_once_it_has_heard() {
-        for handed_on in [false, true] {
-            let (mut process, out) = started(handed_on, true, ALONE);
+    fn alone_it_accepts_at_once_and_is_ready_once_it_has_the_list() {
+        for shared_socket in [false, true] {
+            let (mut process, out) = started(shared_socket, true, ALONE);
             assert_eq!(out, [Start(Timer::List), Start(Timer::Room), Accept]);
             assert_eq!(on(&mut process, Event::Over(Timer::Room)), []);
             assert_eq!(on(&mut process, Event::Heard), [Ready(true)]);
@@ -289,12 +296,12 @@
     }
 
     #[test]
-    fn beside_another_it_accepts_only_with_room() {
+    fn beside_another_process_it_accepts_only_with_enough_descriptors() {
         let (mut process, _) = started(true, false, BESIDE);
         assert!(!process.accepts());
         assert_eq!(on(&mut process, Event::Heard), []);
         assert_eq!(on(&mut process, Event::Room(true)), [Accept, Ready(true)]);
-        // The other one dies instead: somebody has to.
+        // If the other process dies instead, this one accepts without enough descriptors.
         let (mut process, _) = started(true, false, BESIDE);
         assert_eq!(on(&mut process, Event::Others(ALONE)), [Accept]);
         assert_eq!(on(&mut process, Event::Heard), []);
@@ -302,20 +309,20 @@
     }
 
     #[test]
-    fn followed_by_another_it_leaves_new_connections_to_that_one() {
+    fn with_a_successor_it_stops_accepting_at_once() {
         let (mut process, _) = started(true, true, ALONE);
         on(&mut process, Event::Heard);
         on(&mut process, Event::Others(BESIDE));
         let out = on(&mut process, Event::Terminate);
         assert_eq!(out, [Ready(false), Start(Timer::Patience), Deafen, Start(Timer::LastUse)]);
-        assert_eq!(on(&mut process, QUIET), [], "kept connections may be used for a while");
+        assert_eq!(on(&mut process, NOTHING_OPEN), [], "open connections may be used for a while");
         assert_eq!(on(&mut process, Event::Over(Timer::LastUse)), [HandBack, CloseIdle]);
         assert_eq!(on(&mut process, Event::Open { waited_for: false, clients: 1, settled: true }), []);
-        assert_eq!(on(&mut process, QUIET), [End]);
+        assert_eq!(on(&mut process, NOTHING_OPEN), [End]);
     }
 
     #[test]
-    fn if_its_successor_dies_it_accepts_until_it_drains() {
+    fn it_accepts_again_if_its_successor_dies_before_it_drains() {
         let (mut process, _) = started(true, true, BESIDE);
         on(&mut process, Event::Heard);
         on(&mut process, Event::Terminate);
@@ -328,7 +335,7 @@
     }
 
     #[test]
-    fn a_successor_that_is_heard_of_late_is_one_all_the_same() {
+    fn a_successor_that_becomes_known_late_takes_over_too() {
         let (mut process, _) = started(true, true, ALONE);
         on(&mut process, Event::Heard);
         assert_eq!(on(&mut process, Event::Terminate).last(), Some(&Start(Timer::Idle)));
@@ -336,26 +343,26 @@
         assert_eq!(
             on(&mut process, Event::Over(Timer::Idle)),
             [],
-            "kept connections may be used for a while"
+            "open connections may be used for a while"
         );
         assert_eq!(
             on(&mut process, Event::Others(ALONE)),
             [Accept],
-            "and if it dies, this one accepts again"
+            "if the successor dies, this process accepts again"
         );
         assert_eq!(on(&mut process, Event::Over(Timer::LastUse)), [Deafen, HandBack, CloseIdle]);
     }
 
     #[test]
     fn without_a_successor_it_accepts_for_a_while_and_then_drains() {
-        for handed_on in [false, true] {
-            let (mut process, _) = started(handed_on, true, ALONE);
+        for shared_socket in [false, true] {
+            let (mut process, _) = started(shared_socket, true, ALONE);
             on(&mut process, Event::Heard);
             assert_eq!(
                 on(&mut process, Event::Terminate),
                 [Ready(false), Start(Timer::Patience), Start(Timer::Idle)]
             );
-            assert_eq!(on(&mut process, Event::Terminate), [], "once is enough");
+            assert_eq!(on(&mut process, Event::Terminate), [], "a repeated request to stop changes nothing");
             assert_eq!(on(&mut process, Event::Over(Timer::Idle)), [CloseIdle, Start(Timer::Deaf)]);
             assert_eq!(on(&mut process, Event::Over(Timer::Deaf)), [Deafen, HandBack, CloseIdle]);
             let busy = Event::Open { waited_for: true, clients: 1, settled: true };
@@ -367,7 +374,7 @@
     }
 
     #[test]
-    fn patience_ends_also_what_has_not_drained_yet() {
+    fn the_patience_timer_also_fails_requests_before_draining() {
         let (mut process, _) = started(false, true, ALONE);
         on(&mut process, Event::Terminate);
         let out = on(&mut process, Event::Over(Timer::Patience));
--- a/crates/succession/src/record.rs
+++ b/crates/succession/src/record.rs
@@ -1,10 +1,10 @@
-//! What one process tells the others: a record, written as lines that each carry a checksum, and read whatever has happened
-//! to them.
+//! The record in which one process shares its state with the others. Each line has a checksum, so that the intact lines of a
+//! damaged record can be read.
 //!
-//! A line is the CRC-32 (IEEE 802.3) of the rest in eight hexadecimal digits, a space, and one entry as JSON. The first entry
-//! tells the version and how many follow. A line that does not fit its checksum is passed over alone. Rules for change:
-//! kinds of entries may be added in any version, and a reader passes over those it does not know; the entry `held` keeps
-//! its form for ever, so that no version lets back what another holds out; any other change is a new version.
+//! A line is the CRC-32 (IEEE 802.3) of its JSON text in eight hexadecimal digits, a space, and one entry as JSON. The first entry
+//! contains the version and the number of entries that follow. A line with a wrong checksum is skipped. Compatibility rules: kinds
+//! of entries may be added without a new version, and readers skip unknown kinds; the format of `held` entries never changes, so that
+//! every version respects the exclusions of every other; any other change requires a new version.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -15,51 +15,51 @@
 /// The version that is written.
 pub const VERSION: u32 = 1;
 
-/// Where a process is in its life, as the others have to know it.
+/// The phase of a process, as far as the others need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// It does not take clients yet.
+    /// It does not serve clients yet.
     Coming,
-    /// It takes clients.
+    /// It serves clients.
     Serves,
-    /// It stops.
+    /// It is stopping.
     Leaves,
 }
 
-/// A process's own life, told to the others.
+/// A process's own state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Life {
-    /// The process's number.
+    /// The process's id.
     pub process: u32,
-    /// Where it is in its life.
+    /// Its phase.
     pub standing: Standing,
-    /// The descriptors it claims.
+    /// The number of descriptors that it claims.
     pub descriptors: usize,
 }
 
 impl Life {
-    /// What it claims.
+    /// Its claim.
     pub fn claim(&self) -> Claim {
-        Claim { most: self.descriptors, leaves: self.standing == Standing::Leaves }
+        Claim { max_descriptors: self.descriptors, leaves: self.standing == Standing::Leaves }
     }
 }
 
-/// What a process has learned of the fleet, for the one that follows.
+/// What a process has learned about the fleet, for its successor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
     /// When it was written.
     pub at: UnixMs,
-    /// What it is; the node knows its form.
+    /// The learned data; its format is defined by the node.
     pub of: Value,
 }
 
-/// All that a process tells.
+/// The content of a process's record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// Its life.
+    /// The process's state.
     pub life: Life,
-    /// Who it knows to be held out.
+    /// The app servers that it knows to be excluded.
     pub held: HeldOut,
     /// What it has learned.
     pub learned: Option<Learned>,
@@ -74,16 +74,16 @@
     Learned(Learned),
 }
 
-/// What is wrong with a record.
+/// A defect of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Flaw {
-    /// It holds nothing.
+    /// It is empty.
     Empty,
-    /// It is no record: no line of it is one of ours.
+    /// It is not a record: no line has a valid checksum.
     Foreign,
-    /// It is of another version; what it holds out counts all the same.
+    /// It has this other version. Its exclusions are used nevertheless.
     Version(u32),
-    /// So many lines can't be read, or are missing.
+    /// This many lines are damaged or missing.
     Lines(usize),
 }
 
@@ -98,47 +98,48 @@
     }
 }
 
-/// What could be read of a record.
+/// The readable part of a record.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Reading {
-    /// Its life, if that line is whole.
+    /// The process's state, if that line is intact.
     pub life: Option<Life>,
-    /// Who it knows to be held out, as far as it can be read.
+    /// The exclusions on intact lines.
     pub held: HeldOut,
-    /// What it has learned, if that line is whole.
+    /// What the process has learned, if that line is intact.
     pub learned: Option<Learned>,
-    /// What is wrong with it.
+    /// The defect of the record, if any.
     pub flaw: Option<Flaw>,
 }
 
 impl Record {
-    /// As it is written.
+    /// Encodes the record as it is written.
     pub fn encode(&self) -> Vec<u8> {
         let held = self.held.marks().map(|(name, mark)| Entry::Held { name: name.into(), mark });
         let mut entries = vec![Entry::Life(self.life)];
         entries.extend(held);
         entries.extend(self.learned.clone().map(Entry::Learned));
-        lines(entries)
+        encode_lines(entries)
     }
 
-    /// Who is held out, alone: what a second copy holds.
+    /// Encodes only the exclusions, for the second copy.
     pub fn encode_held(&self) -> Vec<u8> {
-        lines(self.held.marks().map(|(name, mark)| Entry::Held { name: name.into(), mark }).collect())
+        encode_lines(self.held.marks().map(|(name, mark)| Entry::Held { name: name.into(), mark }).collect())
     }
 }
 
-fn lines(entries: Vec<Entry>) -> Vec<u8> {
+fn encode_lines(entries: Vec<Entry>) -> Vec<u8> {
     let mut out = Vec::new();
     let first = Entry::Record { version: VERSION, lines: entries.len() };
     for entry in std::iter::once(first).chain(entries) {
-        // Of these types nothing can't be written as JSON.
+        // Serializing these types to JSON cannot fail.
         let text = serde_json::to_string(&entry).unwrap_or_default();
         out.extend_from_slice(format!("{:08x} {text}\n", crc32fast::hash(text.as_bytes())).as_bytes());
     }
     out
 }
 
-fn text_of(line: &[u8]) -> Option<&[u8]> {
+/// Returns the JSON text of a line, or `None` if its checksum is wrong.
+fn checked_text(line: &[u8]) -> Option<&[u8]> {
     let (sum, rest) = line.split_at_checked(8)?;
     let sum = u32::from_str_radix(std::str::from_utf8(sum).ok()?, 16).ok()?;
     let text = rest.strip_prefix(b" ")?;
@@ -146,31 +147,31 @@
 }
 
 impl Reading {
-    /// Reads what is there, however much that is.
+    /// Reads all intact lines.
     pub fn of(bytes: &[u8]) -> Reading {
         let mut reading = Reading::default();
-        let (mut version, mut wanted, mut whole, mut spoilt) = (None, None, 0, 0);
+        let (mut version, mut expected_lines, mut intact, mut damaged) = (None, None, 0, 0);
         for line in bytes.split(|&b| b == b'\n').filter(|line| !line.is_empty()) {
-            let Some(text) = text_of(line) else {
-                spoilt += 1;
+            let Some(text) = checked_text(line) else {
+                damaged += 1;
                 continue;
             };
-            whole += 1;
-            // A whole line that is no entry known here is of a later version.
+            intact += 1;
+            // An intact line with an unknown entry was written by a later version.
             match serde_json::from_slice(text) {
-                Ok(Entry::Record { version: v, lines }) => (version, wanted) = (Some(v), Some(lines)),
+                Ok(Entry::Record { version: v, lines }) => (version, expected_lines) = (Some(v), Some(lines)),
                 Ok(Entry::Life(life)) => reading.life = Some(life),
                 Ok(Entry::Held { name, mark }) => drop(reading.held.take(&name, mark)),
                 Ok(Entry::Learned(learned)) => reading.learned = Some(learned),
                 Err(_) => {}
             }
         }
-        let missing = match wanted {
-            Some(lines) => (lines + 1).saturating_sub(whole).max(spoilt),
-            // Its first line is gone, and with it how many there were.
-            None => spoilt.max(1),
+        let missing = match expected_lines {
+            Some(lines) => (lines + 1).saturating_sub(intact).max(damaged),
+            // The first line is missing, so the number of lines is unknown.
+            None => damaged.max(1),
         };
-        reading.flaw = match (whole, version) {
+        reading.flaw = match (intact, version) {
             (0, _) if bytes.is_empty() => Some(Flaw::Empty),
             (0, _) => Some(Flaw::Foreign),
             (_, Some(v)) if v != VERSION => Some(Flaw::Version(v)),
@@ -204,38 +205,38 @@
     }
 
     #[test]
-    fn a_record_is_read_as_it_was_written_whatever_the_names() {
-        let told = record(&["s-1", "with space", "with\nline", "\u{fc}"]);
-        let read = Reading::of(&told.encode());
+    fn a_record_is_read_as_it_was_written_with_any_names() {
+        let written = record(&["s-1", "with space", "with\nline", "\u{fc}"]);
+        let read = Reading::of(&written.encode());
         assert_eq!(read.flaw, None);
         assert_eq!(
             (read.life, &read.held, read.learned),
-            (Some(told.life), &told.held, told.learned.clone())
+            (Some(written.life), &written.held, written.learned.clone())
         );
-        assert_eq!(Reading::of(&told.encode_held()), Reading { held: told.held, ..Reading::default() });
+        assert_eq!(Reading::of(&written.encode_held()), Reading { held: written.held, ..Reading::default() });
     }
 
     #[test]
-    fn each_flaw_is_told_and_what_is_whole_counts() {
-        let whole = record(&["s-1", "s-2"]).encode();
+    fn each_flaw_is_reported_and_intact_lines_are_read() {
+        let encoded = record(&["s-1", "s-2"]).encode();
         assert_eq!(Reading::of(b"").flaw, Some(Flaw::Empty));
         assert_eq!(Reading::of(b"out 5 s-1\nnonsense\n").flaw, Some(Flaw::Foreign));
         assert_eq!(Reading::of(&[0xff, 0xfe, b'\n', 0]).flaw, Some(Flaw::Foreign));
-        let mut spoilt = whole.clone();
-        let at = whole.windows(3).position(|w| w == b"s-1").expect("a name");
-        spoilt[at] = b'x';
-        let read = Reading::of(&spoilt);
+        let mut corrupted = encoded.clone();
+        let at = encoded.windows(3).position(|w| w == b"s-1").expect("a name");
+        corrupted[at] = b'x';
+        let read = Reading::of(&corrupted);
         assert_eq!(read.flaw, Some(Flaw::Lines(1)));
         assert!(read.held.holds("s-2") && !read.held.holds("s-1") && read.life.is_some());
-        let half = Reading::of(&whole[..at + 40]);
+        let half = Reading::of(&encoded[..at + 40]);
         assert!(matches!(half.flaw, Some(Flaw::Lines(n)) if n >= 2), "{half:?}");
         assert!(half.life.is_some() && half.learned.is_none());
     }
 
     #[test]
-    fn a_later_version_holds_out_what_it_holds_out_and_a_new_kind_of_entry_is_passed_over() {
-        let told = record(&["s-1"]);
-        let add = |bytes: &[u8], from: &str, to: &str| {
+    fn exclusions_of_a_later_version_are_read_and_unknown_entries_are_skipped() {
+        let written = record(&["s-1"]);
+        let with_replaced = |bytes: &[u8], from: &str, to: &str| {
             let text = String::from_utf8(bytes.to_vec()).expect("text");
             let mut out = String::new();
             for line in text.lines() {
@@ -244,25 +245,26 @@
             }
             out.into_bytes()
         };
-        let next = Reading::of(&add(&told.encode(), "\"version\":1", "\"version\":2"));
+        let next = Reading::of(&with_replaced(&written.encode(), "\"version\":1", "\"version\":2"));
         assert_eq!((next.flaw, next.life, next.learned), (Some(Flaw::Version(2)), None, None));
         assert!(next.held.holds("s-1"));
-        let more = Reading::of(&add(&told.encode(), "\"learned\"", "\"levels\""));
+        let more = Reading::of(&with_replaced(&written.encode(), "\"learned\"", "\"levels\""));
         assert_eq!((more.flaw, more.learned), (None, None));
         assert!(more.held.holds("s-1") && more.life.is_some());
     }
 
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(4_000))]
-        /// Any cut and any flipped byte: never a panic, never a mark that was not written, and always told.
+        /// A truncated record, or one with a changed byte, never causes a panic or a mark that was not written, and is always
+        /// reported as damaged.
         #[test]
-        fn damage_is_found_and_makes_nothing_up(
+        fn damage_is_detected_and_adds_no_marks(
             names in prop::collection::vec("[a-z]{1,6}", 0..5), cut in any::<prop::sample::Index>(),
             at in any::<prop::sample::Index>(), flip in 1u8..=255, kind in 0u8..2
         ) {
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
-            let told = record(&names);
-            let mut bytes = told.encode();
+            let written = record(&names);
+            let mut bytes = written.encode();
             match kind {
                 0 => bytes.truncate(cut.index(bytes.len())),
                 _ => {
@@ -271,13 +273,13 @@
                 }
             }
             let read = Reading::of(&bytes);
-            // All but the last line's end, which tells nothing.
-            if bytes.len() + 1 != told.encode().len() || kind == 1 {
-                let same = read.life == Some(told.life) && read.held == told.held && read.learned == told.learned;
+            // Losing only the last newline is not damage.
+            if bytes.len() + 1 != written.encode().len() || kind == 1 {
+                let same = read.life == Some(written.life) && read.held == written.held && read.learned == written.learned;
                 prop_assert!(read.flaw.is_some() || same, "{:?}", read);
             }
             for (name, mark) in read.held.marks() {
-                prop_assert!(told.held.marks().any(|m| m == (name, mark)));
+                prop_assert!(written.held.marks().any(|m| m == (name, mark)));
             }
         }
     }
--- a/crates/succession/src/view.rs
+++ b/crates/succession/src/view.rs
@@ -1,50 +1,50 @@
-//! One picture of all the records that were found, whole or not: who else is there, what they claim, who is held out.
+//! Combines all records that were found, damaged ones included: the other processes, their claims and the exclusions.
 
 use crate::claims::Claim;
 use crate::held::HeldOut;
 use crate::process::Others;
 use crate::record::{Flaw, Learned, Reading, Standing};
 
-/// For so many looks a record of a running process that can't be read counts as claiming all: time for that process to write
-/// it again, or to give way to one that can't be known.
+/// For this many reads in a row, a running process with an unreadable record counts as claiming the whole limit. This gives it the
+/// time to write the record again, or to shrink its own claim for a process whose record it can't read.
 pub const MENDS_WITHIN: u32 = 3;
 
-/// What was found in the place of one process.
+/// What was found in the place (numbered slot for files) of one process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Found {
-    /// Its place.
+    /// The number of the place.
     pub place: usize,
-    /// Whether a process sits there: it holds the lock.
+    /// Whether a running process has the place: its lock is held.
     pub live: bool,
-    /// Its record; `None` if there is none, or why it can't be read.
+    /// The record, `None` if there is none, or the error if it can't be read.
     pub record: Result<Option<Reading>, String>,
-    /// The second copy of who it holds out, looked for where there is no whole record.
+    /// The second copy of its exclusions, which is read if the record is not complete.
     pub copy: Option<Reading>,
-    /// For how many looks in a row its life could not be read.
+    /// How many times in a row its `life` entry could not be read.
     pub unread: u32,
 }
 
-/// What is wrong in a place, for the log.
+/// A problem with the record in a place, for the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Trouble {
-    /// The place.
+    /// The number of the place.
     pub place: usize,
     /// Whether its process runs.
     pub live: bool,
-    /// What it is.
+    /// The kind of problem.
     pub what: What,
-    /// Whether the second copy tells all the same who is held out.
+    /// Whether the exclusions could be read from the second copy.
     pub covered: bool,
 }
 
-/// What is wrong with a record.
+/// The kind of a problem with a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum What {
-    /// A running process has none.
+    /// A running process has no record.
     Missing,
-    /// It can't be read.
+    /// Reading it failed with this error.
     Unreadable(String),
-    /// It is not whole.
+    /// It is damaged, incomplete or of another version.
     Flawed(Flaw),
 }
 
@@ -64,27 +64,27 @@
     }
 }
 
-/// The picture.
+/// The combined content of all records.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct View {
-    /// What the other running processes claim.
+    /// The claims of the other running processes.
     pub claims: Vec<Claim>,
-    /// Where they are in their lives.
+    /// The other running processes, counted by standing.
     pub others: Others,
-    /// Who is held out, by all that could be read.
+    /// The exclusions, merged from everything that could be read.
     pub held: HeldOut,
-    /// What was learned last.
+    /// What any process has learned last.
     pub learned: Option<Learned>,
-    /// Some marks could not be read.
+    /// Whether some marks could not be read.
     pub doubt: bool,
-    /// What is wrong.
+    /// The problems that were found.
     pub troubles: Vec<Trouble>,
-    /// Places of processes that have ended and left a record of ours. What is in it is in this picture; once that has been
-    /// written, it may go.
+    /// The places of ended processes that left a record. Its content is part of this view; once that has been written to the
+    /// reader's own record, the old record may be deleted.
     pub spent: Vec<usize>,
 }
 
-/// Makes the picture. `limit` is the limit of descriptors that all share.
+/// Combines what was found. `limit` is the limit of descriptors that all processes share.
 pub fn view(limit: usize, found: &[Found]) -> View {
     let mut view = View::default();
     for one in found {
@@ -99,15 +99,15 @@
             }
         }
         if one.live {
-            live(&mut view, one, reading, limit);
+            add_live(&mut view, one, reading, limit);
         } else if reading.is_some() && flaw != Some(Flaw::Foreign) {
-            // Danger: a file of somebody else that happens to have the name is not ours to take away.
+            // A foreign file that happens to have the record's name must not be deleted.
             view.spent.push(one.place);
         }
         let what = match (&one.record, flaw) {
             (Err(error), _) => What::Unreadable(error.clone()),
             (Ok(Some(_)), Some(flaw)) => What::Flawed(flaw),
-            // One that has just begun has not written yet.
+            // A process that has just started has not written its record yet.
             (Ok(None), _) if one.live && one.unread >= MENDS_WITHIN => What::Missing,
             _ => continue,
         };
@@ -118,12 +118,12 @@
     view
 }
 
-fn live(view: &mut View, one: &Found, reading: Option<&Reading>, limit: usize) {
+fn add_live(view: &mut View, one: &Found, reading: Option<&Reading>, limit: usize) {
     let Some(life) = reading.and_then(|reading| reading.life) else {
-        // Danger: a claim that can't be read may be any. Each side that can't read the other keeps to an equal part, once
-        // the other has had the time to do so.
-        let most = if one.unread < MENDS_WITHIN { limit } else { limit / 2 };
-        view.claims.push(Claim { most, leaves: false });
+        // An unreadable claim may have any size. Two processes that can't read each other's records each keep to half of the
+        // limit, once the other has had the time to do so.
+        let max_descriptors = if one.unread < MENDS_WITHIN { limit } else { limit / 2 };
+        view.claims.push(Claim { max_descriptors, leaves: false });
         view.others.coming += 1;
         return;
     };
@@ -156,7 +156,7 @@
     }
 
     #[test]
-    fn whole_records_add_up() {
+    fn complete_records_are_combined() {
         let (a, b) = (record(Standing::Serves, &["x"], 5), record(Standing::Leaves, &["y"], 9));
         let dead = record(Standing::Serves, &["z"], 7);
         let all = [
@@ -166,22 +166,25 @@
             found(3, false, None),
         ];
         let view = view(384, &all);
-        assert_eq!(view.claims, [Claim { most: 100, leaves: false }, Claim { most: 100, leaves: true }]);
+        assert_eq!(
+            view.claims,
+            [Claim { max_descriptors: 100, leaves: false }, Claim { max_descriptors: 100, leaves: true }]
+        );
         assert_eq!(view.others, Others { coming: 0, serving: 1, leaving: 1 });
         assert!(["x", "y", "z"].iter().all(|name| view.held.holds(name)));
         assert_eq!(view.learned.map(|l| l.at), Some(9));
         assert_eq!((view.doubt, view.troubles, view.spent), (false, vec![], vec![2]));
     }
 
-    /// The table of the design note: what is found, and what it comes to.
+    /// Each kind of damage, and what follows from it.
     #[test]
     fn each_kind_of_damage_has_its_outcome() {
-        let told = record(Standing::Serves, &["x", "y"], 5);
-        let whole = told.encode();
+        let written = record(Standing::Serves, &["x", "y"], 5);
+        let whole = written.encode();
         let half = &whole[..whole.len() / 2];
-        let copy = || Some(Reading::of(&told.encode_held()));
+        let copy = || Some(Reading::of(&written.encode_held()));
         let unreadable = || Err("permission denied".to_string());
-        // Found, whether its second copy is whole: claim (if it runs), doubt, trouble, whether it may go.
+        // What was found; the expected claim (if the process runs), doubt, trouble, and whether the record may be deleted.
         let base = |live, bytes: Option<&[u8]>| found(4, live, bytes);
         let all = 384;
         let rows = [
@@ -199,14 +202,14 @@
             (Found { record: unreadable(), copy: copy(), ..base(false, None) }, None, false, true, false),
             (base(false, Some(&whole)), None, false, false, true),
         ];
-        for (found, claim, doubt, trouble, goes) in rows {
-            let told = format!("{found:?}");
-            let held = found.copy.is_some();
+        for (found, claim, doubt, trouble, deletable) in rows {
+            let description = format!("{found:?}");
+            let has_copy = found.copy.is_some();
             let view = view(all, &[found]);
-            assert_eq!(view.claims.first().map(|c| c.most), claim, "{told}");
-            assert_eq!((view.doubt, view.troubles.len() == 1), (doubt, trouble), "{told}");
-            assert_eq!(!view.spent.is_empty(), goes, "{told}");
-            assert!(!held || view.held.holds("x") && view.held.holds("y"), "{told}");
+            assert_eq!(view.claims.first().map(|c| c.max_descriptors), claim, "{description}");
+            assert_eq!((view.doubt, view.troubles.len() == 1), (doubt, trouble), "{description}");
+            assert_eq!(!view.spent.is_empty(), deletable, "{description}");
+            assert!(!has_copy || view.held.holds("x") && view.held.holds("y"), "{description}");
         }
     }
 }
