--- a/crates/node/src/net/succession/records.rs
+++ b/crates/node/src/net/succession/records.rs
@@ -15,7 +15,7 @@
 use pinerelay_succession::peer::Peer;
 use pinerelay_succession::process::Others;
 use pinerelay_succession::record::{Flaw, Learned, Reading, Record, Standing};
-use pinerelay_succession::view::{view, Found, Trouble, View, MENDS_WITHIN};
+use pinerelay_succession::view::{view, Found, Trouble, View, UNREADABLE_GRACE_READS};
 
 /// How many processes may share an address. Danger: an upgrade may be begun while another is under way.
 const PLACES: usize = 8;
@@ -220,7 +220,8 @@
     }
 
     fn looked(&self, view: &View, held: bool) -> Looked {
-        let waits = self.place.kept.borrow().iter().any(|kept| (1..MENDS_WITHIN).contains(&kept.unread));
+        let waits =
+            self.place.kept.borrow().iter().any(|kept| (1..UNREADABLE_GRACE_READS).contains(&kept.unread));
         Looked { held, claim: self.me.borrow().descriptors(), others: view.others, waits }
     }
 
--- a/crates/node/src/run/life.rs
+++ b/crates/node/src/run/life.rs
@@ -6,7 +6,7 @@
 
 use mountbend::interface::Event as Told;
 use pinerelay_succession::claims::enough;
-use pinerelay_succession::places::{gives_back, Side};
+use pinerelay_succession::places::{connections_to_close, Side};
 use pinerelay_succession::process::{Action, Event, Others, Phase, Process, Timer};
 use pinerelay_succession::record::Standing;
 use pinerelay_traffic::acceptor::Acceptor;
@@ -101,9 +101,9 @@
     fn of(&self, timer: Timer) -> Duration {
         match timer {
             Timer::List => LIST_WAIT,
-            Timer::Room => ROOM_WAIT,
+            Timer::Descriptors => ROOM_WAIT,
             Timer::Idle => self.planned.idle_after.0,
-            Timer::Deaf => self.planned.deaf_after.0,
+            Timer::AcceptEnd => self.planned.deaf_after.0,
             Timer::LastUse => LAST_REQUESTS,
             Timer::Patience => (self.longest)().min(self.planned.patience.0) + PATIENCE_OVER,
             Timer::Grace => LAST_GRACE,
@@ -146,17 +146,17 @@
             _ = interrupt.recv() => process.on(Event::Terminate, &mut actions),
             looked = run.parts.shared.looked() => {
                 let (room, others) = run.found(looked, standing(process.phase()));
-                process.on(Event::Room(room), &mut actions);
+                process.on(Event::EnoughDescriptors(room), &mut actions);
                 process.on(Event::Others(others), &mut actions);
             }
             () = sleep_until(wake) => {}
         }
         let now = Instant::now();
         if run.parts.discovery.heard() {
-            process.on(Event::Heard, &mut actions);
+            process.on(Event::ListReceived, &mut actions);
         }
         while let Some(timer) = run.over(now) {
-            process.on(Event::Over(timer), &mut actions);
+            process.on(Event::TimerExpired(timer), &mut actions);
         }
         run.perform(&mut actions);
         if process.looks() {
@@ -276,7 +276,7 @@
         let settled = self.changed.elapsed() >= SETTLED;
         let side = Side { standing, others: looked.others, settled };
         let holds = p.budget.holds(p.servers.idle());
-        let back = gives_back(self.times.limit, looked.claim, holds, side);
+        let back = connections_to_close(self.times.limit, looked.claim, holds, side);
         let _closed = (0..back.servers).take_while(|_| p.servers.close_an_idle()).count();
         // A client's connection ends a moment after it is told to.
         let _told = (0..back.clients).take_while(|_| p.budget.close_an_idle_client()).count();
@@ -288,7 +288,7 @@
             let p = &self.parts;
             match action {
                 Action::Accept => p.gate.open(),
-                Action::Deafen => p.gate.shut(),
+                Action::StopAccepting => p.gate.shut(),
                 Action::Ready(true) => {
                     // Danger: upon the yes the process before is stopped, and looks who follows it.
                     self.yes = Some(Yes { asked: false, latest: Instant::now() + YES_WAIT });
@@ -302,7 +302,7 @@
                     self.next_look = Instant::now();
                 }
                 Action::CloseIdle => p.front.close_idle(),
-                Action::HandBack => p.node.event(Told::Stopping),
+                Action::ReturnLeases => p.node.event(Told::Stopping),
                 Action::FailAll => p.node.fail_all(),
                 Action::Start(timer) => self.timers.push((Instant::now() + self.times.of(timer), timer)),
                 Action::End => self.ended = true,
--- a/crates/succession/src/places.rs
+++ b/crates/succession/src/places.rs
@@ -60,7 +60,7 @@
 /// app servers are closed first, since no client notices. A client whose connection is closed reconnects, and needs a connection
 /// elsewhere, so client connections are closed only if another process can't start to serve otherwise, if this process exceeds its
 /// claim, or if both processes have been serving for a while without a request to stop (`settled`): then they share equally.
-pub fn gives_back(limit: usize, claim: usize, holds: Holds, side: Side) -> GiveBack {
+pub fn connections_to_close(limit: usize, claim: usize, holds: Holds, side: Side) -> GiveBack {
     let Side { standing, others, settled } = side;
     let Holds { all, busy_servers, clients, idle_servers } = holds;
     if standing == Standing::Leaves {
@@ -112,7 +112,7 @@
     #[test]
     fn idle_connections_are_closed_first_and_clients_only_if_necessary() {
         let busy = Holds { all: 264, busy_servers: 7, clients: 120, idle_servers: 100 };
-        let back = |holds, others| gives_back(LIMIT, 264, holds, serves(others));
+        let back = |holds, others| connections_to_close(LIMIT, 264, holds, serves(others));
         assert_eq!(back(busy, ALONE), GiveBack::default());
         assert_eq!(back(busy, COMING), GiveBack { servers: 33, clients: 0 });
         let working = Holds { busy_servers: 107, idle_servers: 0, ..busy };
@@ -121,16 +121,16 @@
         assert_eq!(back(crowd, COMING), GiveBack { servers: 0, clients: 23 });
         assert_eq!(back(crowd, BESIDE), GiveBack::default());
         let settled = Side { settled: true, ..serves(BESIDE) };
-        assert_eq!(gives_back(LIMIT, 264, busy, settled), GiveBack { servers: 96, clients: 0 });
-        assert_eq!(gives_back(LIMIT, 264, crowd, settled), GiveBack { servers: 0, clients: 86 });
-        let over = gives_back(LIMIT, 200, busy, serves(ALONE));
+        assert_eq!(connections_to_close(LIMIT, 264, busy, settled), GiveBack { servers: 96, clients: 0 });
+        assert_eq!(connections_to_close(LIMIT, 264, crowd, settled), GiveBack { servers: 0, clients: 86 });
+        let over = connections_to_close(LIMIT, 200, busy, serves(ALONE));
         assert_eq!(over, GiveBack { servers: 64, clients: 0 }, "it exceeds its claim");
     }
 
     #[test]
     fn a_leaving_process_keeps_idle_connections_for_last_requests() {
         let holds = |clients| Holds { all: 264, busy_servers: 0, clients, idle_servers: 100 };
-        let back = |clients, others| gives_back(LIMIT, 264, holds(clients), leaves(others));
+        let back = |clients, others| connections_to_close(LIMIT, 264, holds(clients), leaves(others));
         assert_eq!(back(120, BESIDE), GiveBack { servers: 70, clients: 0 });
         assert_eq!(back(0, BESIDE), GiveBack { servers: 96, clients: 0 });
         assert_eq!(back(120, ALONE), GiveBack::default());
@@ -149,7 +149,7 @@
                 all: KEPT + stay + in_work + idle, busy_servers: in_work, clients: stay, idle_servers: idle,
             };
             prop_assume!(holds.all <= LIMIT);
-            let back = gives_back(LIMIT, holds.all, holds, leaves(BESIDE));
+            let back = connections_to_close(LIMIT, holds.all, holds, leaves(BESIDE));
             let left = claim(LIMIT, holds.all - back.servers, true, &[Claim { max_descriptors: 0, leaves: false }]);
             let next = claim(LIMIT, 0, false, &[Claim { max_descriptors: left, leaves: true }]);
             let places = for_clients(LIMIT - KEPT, next.saturating_sub(KEPT), 0.6);
@@ -166,7 +166,7 @@
             for idle in [idle, in_work] {
                 holds.idle_servers = idle;
                 holds.busy_servers = in_work - idle.min(in_work);
-                let back = gives_back(LIMIT, LIMIT, holds, serves(COMING));
+                let back = connections_to_close(LIMIT, LIMIT, holds, serves(COMING));
                 holds.all -= back.servers + back.clients;
                 holds.clients -= back.clients;
             }
--- a/crates/succession/src/process.rs
+++ b/crates/succession/src/process.rs
@@ -39,11 +39,11 @@
     /// Waiting for the first list of app servers.
     List,
     /// Waiting for descriptors that another process still uses.
-    Room,
+    Descriptors,
     /// Leaving without a successor: until idle connections are closed.
     Idle,
     /// Leaving without a successor: from then on, until it stops accepting.
-    Deaf,
+    AcceptEnd,
     /// Leaving with a successor: waiting for the last requests on open connections.
     LastUse,
     /// From the request to stop (SIGTERM): until open requests are failed.
@@ -56,13 +56,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Event {
     /// The list of app servers has been received.
-    Heard,
+    ListReceived,
     /// Whether it has enough descriptors to serve.
-    Room(bool),
+    EnoughDescriptors(bool),
     /// The current states of the other processes.
     Others(Others),
     /// A timer has expired.
-    Over(Timer),
+    TimerExpired(Timer),
     /// It is requested to stop.
     Terminate,
     /// The open work, reported repeatedly while it is draining or failing.
@@ -82,13 +82,13 @@
     /// Start to accept connections.
     Accept,
     /// Stop accepting. If the listening socket is its own, accept the connections in its backlog first.
-    Deafen,
+    StopAccepting,
     /// Report whether it is ready to serve clients.
     Ready(bool),
     /// Request all connections to close as soon as no request on them can be lost.
     CloseIdle,
     /// Return all leases.
-    HandBack,
+    ReturnLeases,
     /// Fail all open requests.
     FailAll,
     /// Start a timer.
@@ -128,7 +128,7 @@
             others,
             has_successor: false,
         };
-        out.extend([Action::Start(Timer::List), Action::Start(Timer::Room)]);
+        out.extend([Action::Start(Timer::List), Action::Start(Timer::Descriptors)]);
         process.starting(out);
         process
     }
@@ -151,11 +151,11 @@
     /// Applies an event and appends the resulting actions to `out`.
     pub fn on(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Heard => self.list_received = true,
-            Event::Room(has_descriptors) => self.has_descriptors = has_descriptors,
+            Event::ListReceived => self.list_received = true,
+            Event::EnoughDescriptors(has_descriptors) => self.has_descriptors = has_descriptors,
             Event::Others(others) => self.others = others,
             Event::Terminate => return self.terminate(out),
-            Event::Over(timer) => self.over(timer, out),
+            Event::TimerExpired(timer) => self.over(timer, out),
             Event::Open { waited_for, clients, settled } => {
                 if self.looks() && !waited_for && clients == 0 && settled {
                     self.end(out);
@@ -219,11 +219,11 @@
         match (self.phase, timer) {
             (Phase::Starting, Timer::List) => self.list_received = true,
             // It has waited long enough: serving with few descriptors is better than not serving.
-            (Phase::Starting, Timer::Room) => self.has_descriptors = true,
+            (Phase::Starting, Timer::Descriptors) => self.has_descriptors = true,
             // The successor accepts new connections, and open ones may be used until `LastUse` expires.
-            (Phase::Leaving, Timer::Idle | Timer::Deaf) if self.has_successor => {}
-            (Phase::Leaving, Timer::Idle) => out.extend([Action::CloseIdle, Action::Start(Timer::Deaf)]),
-            (Phase::Leaving, Timer::Deaf | Timer::LastUse) => self.drain(out),
+            (Phase::Leaving, Timer::Idle | Timer::AcceptEnd) if self.has_successor => {}
+            (Phase::Leaving, Timer::Idle) => out.extend([Action::CloseIdle, Action::Start(Timer::AcceptEnd)]),
+            (Phase::Leaving, Timer::AcceptEnd | Timer::LastUse) => self.drain(out),
             (Phase::Leaving, Timer::Patience) => {
                 self.drain(out);
                 self.fail(out);
@@ -237,7 +237,7 @@
     fn drain(&mut self, out: &mut Vec<Action>) {
         self.stop_accepting(out);
         self.phase = Phase::Draining;
-        out.extend([Action::HandBack, Action::CloseIdle]);
+        out.extend([Action::ReturnLeases, Action::CloseIdle]);
     }
 
     fn fail(&mut self, out: &mut Vec<Action>) {
@@ -257,7 +257,7 @@
 
     fn stop_accepting(&mut self, out: &mut Vec<Action>) {
         if std::mem::take(&mut self.accepts) {
-            out.push(Action::Deafen);
+            out.push(Action::StopAccepting);
         }
     }
 }
@@ -288,10 +288,10 @@
     fn alone_it_accepts_at_once_and_is_ready_once_it_has_the_list() {
         for shared_socket in [false, true] {
             let (mut process, out) = started(shared_socket, true, ALONE);
-            assert_eq!(out, [Start(Timer::List), Start(Timer::Room), Accept]);
-            assert_eq!(on(&mut process, Event::Over(Timer::Room)), []);
-            assert_eq!(on(&mut process, Event::Heard), [Ready(true)]);
-            assert_eq!(on(&mut process, Event::Over(Timer::List)), []);
+            assert_eq!(out, [Start(Timer::List), Start(Timer::Descriptors), Accept]);
+            assert_eq!(on(&mut process, Event::TimerExpired(Timer::Descriptors)), []);
+            assert_eq!(on(&mut process, Event::ListReceived), [Ready(true)]);
+            assert_eq!(on(&mut process, Event::TimerExpired(Timer::List)), []);
         }
     }
 
@@ -299,24 +299,24 @@
     fn beside_another_process_it_accepts_only_with_enough_descriptors() {
         let (mut process, _) = started(true, false, BESIDE);
         assert!(!process.accepts());
-        assert_eq!(on(&mut process, Event::Heard), []);
-        assert_eq!(on(&mut process, Event::Room(true)), [Accept, Ready(true)]);
+        assert_eq!(on(&mut process, Event::ListReceived), []);
+        assert_eq!(on(&mut process, Event::EnoughDescriptors(true)), [Accept, Ready(true)]);
         // If the other process dies instead, this one accepts without enough descriptors.
         let (mut process, _) = started(true, false, BESIDE);
         assert_eq!(on(&mut process, Event::Others(ALONE)), [Accept]);
-        assert_eq!(on(&mut process, Event::Heard), []);
-        assert_eq!(on(&mut process, Event::Over(Timer::Room)), [Ready(true)]);
+        assert_eq!(on(&mut process, Event::ListReceived), []);
+        assert_eq!(on(&mut process, Event::TimerExpired(Timer::Descriptors)), [Ready(true)]);
     }
 
     #[test]
     fn with_a_successor_it_stops_accepting_at_once() {
         let (mut process, _) = started(true, true, ALONE);
-        on(&mut process, Event::Heard);
+        on(&mut process, Event::ListReceived);
         on(&mut process, Event::Others(BESIDE));
         let out = on(&mut process, Event::Terminate);
-        assert_eq!(out, [Ready(false), Start(Timer::Patience), Deafen, Start(Timer::LastUse)]);
+        assert_eq!(out, [Ready(false), Start(Timer::Patience), StopAccepting, Start(Timer::LastUse)]);
         assert_eq!(on(&mut process, NOTHING_OPEN), [], "open connections may be used for a while");
-        assert_eq!(on(&mut process, Event::Over(Timer::LastUse)), [HandBack, CloseIdle]);
+        assert_eq!(on(&mut process, Event::TimerExpired(Timer::LastUse)), [ReturnLeases, CloseIdle]);
         assert_eq!(on(&mut process, Event::Open { waited_for: false, clients: 1, settled: true }), []);
         assert_eq!(on(&mut process, NOTHING_OPEN), [End]);
     }
@@ -324,24 +324,27 @@
     #[test]
     fn it_accepts_again_if_its_successor_dies_before_it_drains() {
         let (mut process, _) = started(true, true, BESIDE);
-        on(&mut process, Event::Heard);
+        on(&mut process, Event::ListReceived);
         on(&mut process, Event::Terminate);
         assert!(!process.accepts());
         assert_eq!(on(&mut process, Event::Others(ALONE)), [Accept]);
-        assert_eq!(on(&mut process, Event::Others(BESIDE)), [Deafen]);
+        assert_eq!(on(&mut process, Event::Others(BESIDE)), [StopAccepting]);
         assert_eq!(on(&mut process, Event::Others(ALONE)), [Accept]);
-        assert_eq!(on(&mut process, Event::Over(Timer::LastUse)), [Deafen, HandBack, CloseIdle]);
+        assert_eq!(
+            on(&mut process, Event::TimerExpired(Timer::LastUse)),
+            [StopAccepting, ReturnLeases, CloseIdle]
+        );
         assert_eq!(on(&mut process, Event::Others(ALONE)), []);
     }
 
     #[test]
     fn a_successor_that_becomes_known_late_takes_over_too() {
         let (mut process, _) = started(true, true, ALONE);
-        on(&mut process, Event::Heard);
+        on(&mut process, Event::ListReceived);
         assert_eq!(on(&mut process, Event::Terminate).last(), Some(&Start(Timer::Idle)));
-        assert_eq!(on(&mut process, Event::Others(BESIDE)), [Start(Timer::LastUse), Deafen]);
+        assert_eq!(on(&mut process, Event::Others(BESIDE)), [Start(Timer::LastUse), StopAccepting]);
         assert_eq!(
-            on(&mut process, Event::Over(Timer::Idle)),
+            on(&mut process, Event::TimerExpired(Timer::Idle)),
             [],
             "open connections may be used for a while"
         );
@@ -350,26 +353,38 @@
             [Accept],
             "if the successor dies, this process accepts again"
         );
-        assert_eq!(on(&mut process, Event::Over(Timer::LastUse)), [Deafen, HandBack, CloseIdle]);
+        assert_eq!(
+            on(&mut process, Event::TimerExpired(Timer::LastUse)),
+            [StopAccepting, ReturnLeases, CloseIdle]
+        );
     }
 
     #[test]
     fn without_a_successor_it_accepts_for_a_while_and_then_drains() {
         for shared_socket in [false, true] {
             let (mut process, _) = started(shared_socket, true, ALONE);
-            on(&mut process, Event::Heard);
+            on(&mut process, Event::ListReceived);
             assert_eq!(
                 on(&mut process, Event::Terminate),
                 [Ready(false), Start(Timer::Patience), Start(Timer::Idle)]
             );
             assert_eq!(on(&mut process, Event::Terminate), [], "a repeated request to stop changes nothing");
-            assert_eq!(on(&mut process, Event::Over(Timer::Idle)), [CloseIdle, Start(Timer::Deaf)]);
-            assert_eq!(on(&mut process, Event::Over(Timer::Deaf)), [Deafen, HandBack, CloseIdle]);
+            assert_eq!(
+                on(&mut process, Event::TimerExpired(Timer::Idle)),
+                [CloseIdle, Start(Timer::AcceptEnd)]
+            );
+            assert_eq!(
+                on(&mut process, Event::TimerExpired(Timer::AcceptEnd)),
+                [StopAccepting, ReturnLeases, CloseIdle]
+            );
             let busy = Event::Open { waited_for: true, clients: 1, settled: true };
             assert_eq!(on(&mut process, busy), []);
-            assert_eq!(on(&mut process, Event::Over(Timer::Patience)), [FailAll, Start(Timer::Grace)]);
+            assert_eq!(
+                on(&mut process, Event::TimerExpired(Timer::Patience)),
+                [FailAll, Start(Timer::Grace)]
+            );
             assert_eq!(on(&mut process, busy), []);
-            assert_eq!(on(&mut process, Event::Over(Timer::Grace)), [End]);
+            assert_eq!(on(&mut process, Event::TimerExpired(Timer::Grace)), [End]);
         }
     }
 
@@ -377,7 +392,7 @@
     fn the_patience_timer_also_fails_requests_before_draining() {
         let (mut process, _) = started(false, true, ALONE);
         on(&mut process, Event::Terminate);
-        let out = on(&mut process, Event::Over(Timer::Patience));
-        assert_eq!(out, [Deafen, HandBack, CloseIdle, FailAll, Start(Timer::Grace)]);
+        let out = on(&mut process, Event::TimerExpired(Timer::Patience));
+        assert_eq!(out, [StopAccepting, ReturnLeases, CloseIdle, FailAll, Start(Timer::Grace)]);
     }
 }
--- a/crates/succession/src/view.rs
+++ b/crates/succession/src/view.rs
@@ -7,7 +7,7 @@
 
 /// For this many reads in a row, a running process with an unreadable record counts as claiming the whole limit. This gives it the
 /// time to write the record again, or to shrink its own claim for a process whose record it can't read.
-pub const MENDS_WITHIN: u32 = 3;
+pub const UNREADABLE_GRACE_READS: u32 = 3;
 
 /// What was found in the place (numbered slot for files) of one process.
 #[derive(Debug, Clone, PartialEq)]
@@ -108,7 +108,7 @@
             (Err(error), _) => What::Unreadable(error.clone()),
             (Ok(Some(_)), Some(flaw)) => What::Flawed(flaw),
             // A process that has just started has not written its record yet.
-            (Ok(None), _) if one.live && one.unread >= MENDS_WITHIN => What::Missing,
+            (Ok(None), _) if one.live && one.unread >= UNREADABLE_GRACE_READS => What::Missing,
             _ => continue,
         };
         let covered = one.copy.as_ref().is_some_and(|copy| copy.flaw.is_none());
@@ -122,7 +122,7 @@
     let Some(life) = reading.and_then(|reading| reading.life) else {
         // An unreadable claim may have any size. Two processes that can't read each other's records each keep to half of the
         // limit, once the other has had the time to do so.
-        let max_descriptors = if one.unread < MENDS_WITHIN { limit } else { limit / 2 };
+        let max_descriptors = if one.unread < UNREADABLE_GRACE_READS { limit } else { limit / 2 };
         view.claims.push(Claim { max_descriptors, leaves: false });
         view.others.coming += 1;
         return;
@@ -189,7 +189,7 @@
         let all = 384;
         let rows = [
             (base(true, None), Some(all), false, false, false),
-            (Found { unread: MENDS_WITHIN, ..base(true, None) }, Some(all / 2), true, true, false),
+            (Found { unread: UNREADABLE_GRACE_READS, ..base(true, None) }, Some(all / 2), true, true, false),
             (base(true, Some(b"")), Some(all), true, true, false),
             (Found { unread: 9, ..base(true, Some(b"not ours\n")) }, Some(all / 2), true, true, false),
             (Found { copy: copy(), ..base(true, Some(b"")) }, Some(all), false, true, false),
--- a/crates/succession/tests/model.rs
+++ b/crates/succession/tests/model.rs
@@ -296,9 +296,9 @@
             enough(proc.peer.descriptors(), LIMIT) && !waits || self.is_disabled(Without::DescriptorWait)
         };
         world.procs.iter_mut().flatten().for_each(|other| other.has_read_since[me] = true);
-        self.apply_event(world, me, Event::Room(room));
+        self.apply_event(world, me, Event::EnoughDescriptors(room));
         self.apply_event(world, me, Event::Others(view.others));
-        self.apply_event(world, me, Event::Heard);
+        self.apply_event(world, me, Event::ListReceived);
     }
 
     fn apply_event(&self, world: &mut World, me: usize, event: Event) {
@@ -309,7 +309,7 @@
         self.perform(world, me, out);
         if let Some(proc) = world.procs[me].as_mut().filter(|proc| proc.lifecycle.phase() != Phase::Starting)
         {
-            proc.timers.remove(&Timer::Room);
+            proc.timers.remove(&Timer::Descriptors);
         }
         if world.procs[me].as_ref().is_none_or(|proc| proc.lifecycle.phase() != before) {
             world.procs.iter_mut().enumerate().filter(|(n, _)| *n != me).for_each(|(_, p)| {
@@ -327,7 +327,7 @@
                 ProcessAction::Accept
                     if self.is_disabled(Without::AcceptAgain) && proc.lifecycle.phase() == Phase::Leaving => {
                 }
-                ProcessAction::Accept | ProcessAction::Deafen | ProcessAction::HandBack => {}
+                ProcessAction::Accept | ProcessAction::StopAccepting | ProcessAction::ReturnLeases => {}
                 ProcessAction::Ready(ready) => {
                     proc.ready = ready;
                     let has_too_few = !enough(proc.peer.descriptors(), LIMIT) && !proc.room_timer_expired;
@@ -523,8 +523,8 @@
             Step::Expire(me, timer) => {
                 let proc = world.procs[me].as_mut()?;
                 proc.timers.remove(&timer);
-                proc.room_timer_expired |= timer == Timer::Room;
-                self.apply_event(&mut world, me, Event::Over(timer));
+                proc.room_timer_expired |= timer == Timer::Descriptors;
+                self.apply_event(&mut world, me, Event::TimerExpired(timer));
             }
             Step::Terminate(me) => {
                 self.apply_event(&mut world, me, Event::Terminate);
