--- a/crates/exporter/src/command/tests.rs
+++ b/crates/exporter/src/command/tests.rs
@@ -30,6 +30,6 @@
     expect_that!(parsed("--listen 127.0.0.1:9 --at me"), err(starts_with("--at: an IPv4")));
     let two = parsed("--listen 127.0.0.1:9 --at 127.0.0.2:7 --at 127.0.0.3:8");
     expect_that!(two, err(contains_substring("the same port")));
-    expect_that!(parsed("now"), err(starts_with("\"now\" is no option")));
+    expect_that!(parsed("now"), err(starts_with("\"now\" is not an option")));
     expect_that!(parsed("-h"), ok(matches_pattern!(Command::Print(contains_substring("--rules")))));
 }
--- a/crates/node-runtime/src/command.rs
+++ b/crates/node-runtime/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the gateway's programs, and how a program starts and ends.
+//! Command line, start-up and exit codes of the gateway's programs.
 
 use std::error::Error as StdError;
 use std::future::Future;
@@ -15,21 +15,21 @@
 #[cfg(test)]
 mod tests;
 
-/// The variable that holds the settings file's path.
+/// The environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "PINERELAY_BOOT";
-/// The exit code of a program whose settings cannot be used, or that failed.
+/// Exit code for invalid settings or a failure while running.
 const EXIT_FAILURE: u8 = 1;
-/// The exit code of a program whose command line cannot be parsed.
+/// Exit code for a command line that cannot be parsed.
 const EXIT_USAGE: u8 = 2;
 
-/// What a program is called for.
+/// What the command line asks the program to do.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run with the settings in this file.
+    /// Run with the settings in this file and log from this level on.
     Run(PathBuf, Level),
-    /// Check that file and end.
+    /// Check this settings file and exit.
     Check(PathBuf),
-    /// Print this text and end.
+    /// Print this text and exit.
     Print(String),
 }
 
@@ -39,37 +39,38 @@
     /// An option is unknown, or lacks its value.
     #[error("{0}")]
     Options(#[from] getopts::Fail),
-    /// An argument is no option.
-    #[error("{0:?} is no option; --help tells them all")]
+    /// A positional argument, where only options are accepted.
+    #[error("{0:?} is not an option; --help lists all options")]
     UnexpectedArgument(String),
-    /// An argument is none of those that are expected there.
-    #[error("{0:?}: {1} is wanted")]
+    /// A positional argument is not one of those that are expected: the argument, and what is expected.
+    #[error("{0:?}: {1} is expected")]
     UnknownArgument(String, &'static str),
-    /// An option's value cannot be used.
-    #[error("--{0}: {1} is wanted, not {2:?}")]
+    /// The value of an option is invalid: the option, what is expected, and the value.
+    #[error("--{0}: {1} is expected, not {2:?}")]
     InvalidValue(&'static str, &'static str, String),
-    /// Something is missing.
+    /// Required arguments are missing, or options cannot be combined; the text says which.
     #[error("{0}")]
     Missing(&'static str),
-    /// The settings file cannot be used, or is not named.
+    /// The settings file is invalid, or none is given.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("s", "settings", "the settings file; without it, what PINERELAY_BOOT names", "FILE");
-    options.optopt("l", "log", "what is logged: error, warn, info (default) or debug", "LEVEL");
-    options.optflag("c", "check", "check the settings file and end: 0 if it can be used, else 1");
-    options.optflag("V", "version", "print the version and end");
-    options.optflag("h", "help", "print this and end");
+    options.optopt("s", "settings", "the settings file; defaults to the path in PINERELAY_BOOT", "FILE");
+    options.optopt("l", "log", "the log level: error, warn, info (default) or debug", "LEVEL");
+    options.optflag("c", "check", "check the settings file and exit: 0 if it is valid, else 1");
+    options.optflag("V", "version", "print the version and exit");
+    options.optflag("h", "help", "print this help and exit");
     options
 }
 
-/// Parses a command line without the program's name. `settings_path` is the value of [`SETTINGS_VARIABLE`].
+/// Parses the command line, without the program's name. `settings_path` is the value of [`SETTINGS_VARIABLE`]; the option
+/// `settings` takes precedence over it.
 ///
 /// # Errors
-/// If an option is unknown or has an invalid value, or if no settings file is named.
+/// If an argument or option is unknown, an option has an invalid value, or no settings file is given.
 pub fn parse(
     program: &str,
     description: &str,
@@ -93,19 +94,20 @@
     Ok(if matches.opt_present("c") { Command::Check(path) } else { Command::Run(path, level) })
 }
 
-/// The level of the option `log`, which all programs have that log.
+/// Returns the value of the option `log`, [`Level::Info`] by default. `matches` must come from options that define `log`.
 ///
 /// # Errors
-/// If the option names no level.
+/// If the value is not a log level.
 pub fn log_level(matches: &Matches) -> Result<Level, CommandError> {
     let Some(text) = matches.opt_str("log") else { return Ok(Level::Info) };
     Level::parse(&text).ok_or(CommandError::InvalidValue("log", "error, warn, info or debug", text))
 }
 
-/// Runs a program: parses the process's command line, reads the settings, and runs until the program ends.
+/// Entry point of a program: parses the command line of the process, reads the settings, starts logging and drives `run` to
+/// completion.
 ///
-/// The exit code is 0 after a planned end, 1 if the settings cannot be used or an address is taken, and 2 if the command line
-/// cannot be parsed.
+/// The exit code is 0 if `run` succeeds, 1 if the settings are invalid or `run` fails, and 2 if the command line cannot be
+/// parsed.
 pub fn run_program(
     program: &'static str,
     description: &str,
@@ -143,7 +145,7 @@
     }
 }
 
-/// All that a program has runs on one thread.
+/// Runs a future and the tasks that it spawns on the current thread.
 fn run_on_one_thread(
     future: impl Future<Output = Result<(), Box<dyn StdError>>>,
 ) -> Result<(), Box<dyn StdError>> {
--- a/crates/node-runtime/src/command/tests.rs
+++ b/crates/node-runtime/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Which command lines are parsed.
+//! Tests of the command-line parser.
 
 use googletest::prelude::*;
 
@@ -10,7 +10,7 @@
 }
 
 #[gtest]
-fn the_file_comes_from_the_option_or_the_variable() {
+fn settings_path_comes_from_the_option_or_the_environment() {
     let run = |path: &str| Ok(Command::Run(path.into(), Level::Info));
     expect_that!(parsed(&[], Some("b.toml")), eq(&run("b.toml")));
     expect_that!(parsed(&["-s", "a.toml"], Some("b.toml")), eq(&run("a.toml")));
@@ -19,7 +19,7 @@
     expect_that!(parsed(&["--check"], Some("b.toml")), eq(&Ok(Command::Check("b.toml".into()))));
     expect_that!(parsed(&[], None), err(contains_substring("PINERELAY_BOOT")));
     expect_that!(parsed(&["--log=loud"], None), err(starts_with("--log: error, warn")));
-    expect_that!(parsed(&["now"], None), err(starts_with("\"now\" is no option")));
+    expect_that!(parsed(&["now"], None), err(starts_with("\"now\" is not an option")));
     expect_that!(parsed(&["--hush"], None), err(contains_substring("hush")));
     expect_that!(parsed(&["-h"], None), ok(matches_pattern!(Command::Print(contains_substring("--check")))));
 }
--- a/crates/node-runtime/src/internal_port.rs
+++ b/crates/node-runtime/src/internal_port.rs
@@ -1,11 +1,12 @@
-//! The internal port of each program, as an offset from the first one of a machine. Part of the protocol between processes.
+//! The internal port of each program, as an offset from the first internal port of a machine. The offsets are part of the
+//! protocol between processes.
 
-/// Where the registry accepts links.
+/// The registry accepts links from other processes.
 pub const REGISTRY: u16 = 0;
-/// Where the store of the configuration accepts links.
+/// The configuration store accepts links from other processes.
 pub const CONFIG_STORE: u16 = 1;
-/// Where a proxy answers requests for its metrics.
+/// A proxy answers metrics queries.
 pub const PROXY: u16 = 2;
 
-/// The highest of them.
+/// The highest offset.
 pub const LAST: u16 = PROXY;
--- a/crates/node-runtime/src/lib.rs
+++ b/crates/node-runtime/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the gateway's programs share.
+//! Process set-up that is shared by the gateway's programs.
 //!
-//! - [`command`]: the command line, and how a program starts and ends.
-//! - [`settings`]: the settings file of a process.
-//! - [`settings_watch`]: the reload of settings while a process runs.
-//! - [`internal_port`]: where the programs of a machine listen for other processes.
+//! - [`command`]: parses the command line, starts the runtime and maps errors to exit codes.
+//! - [`settings`]: reads and validates the settings file of a process.
+//! - [`settings_watch`]: reloads the settings while a process runs.
+//! - [`internal_port`]: port offsets for links between processes.
 //! - [`logs`]: logging to standard error.
 
 pub mod command;
--- a/crates/node-runtime/src/logs.rs
+++ b/crates/node-runtime/src/logs.rs
@@ -1,18 +1,18 @@
-//! Logging to standard error. Lines are written for changes of state alone; what happens often is counted in metrics.
+//! Logging to standard error. Only state changes are logged; frequent events are counted in metrics instead.
 
 use logforth::append::Stderr;
 use logforth::bridge::log::LogBridge;
 
-/// The least severe lines that are logged.
+/// The lowest severity that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Level {
-    /// What ends the process.
+    /// Failures that end the process.
     Error,
-    /// What an operator should look at.
+    /// Conditions that need an operator's attention.
     Warn,
-    /// Changes of state.
+    /// State changes.
     Info,
-    /// What helps to find a cause.
+    /// Details for diagnosis.
     Debug,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Starts logging. A second call changes nothing.
+/// Installs the global logger. A second call has no effect.
 pub fn start(level: Level) {
     let logger = logforth::core::builder().dispatch(|dispatch| dispatch.append(Stderr::default())).build();
     if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
--- a/crates/node-runtime/src/settings.rs
+++ b/crates/node-runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file (TOML) of a process.
+//! The settings file (TOML) of a process: its keys, defaults and validation.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,10 +15,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a file cannot be used.
+/// Why a file is rejected.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{path}: {error}")]
     Unreadable {
         /// The file.
@@ -26,30 +26,30 @@
         /// The cause.
         error: std::io::Error,
     },
-    /// A key is missing or has a value that cannot be used.
+    /// A key is missing or has an invalid value, or the file is not valid TOML.
     #[error("{path}: {key}: {reason}")]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// The key with those that contain it; `.` for the file as a whole.
+        /// The full path of the key; `.` for the file as a whole.
         key: String,
-        /// What is wrong, and what is wanted.
+        /// What is wrong, and what is expected.
         reason: String,
     },
 }
 
-/// Why a settings file cannot be used.
+/// Why the settings are unavailable.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// It is not named.
-    #[error("no settings file: name it with --settings or in the variable PINERELAY_BOOT")]
+    /// No settings file is given.
+    #[error("no settings file: pass --settings FILE or set PINERELAY_BOOT")]
     Unnamed,
-    /// The file itself cannot be used.
+    /// The settings file is rejected.
     #[error(transparent)]
     File(#[from] FileError),
 }
 
-/// A duration as the file writes it, such as `1500ms` or `2.5s`.
+/// A duration that is written as text, such as `1500ms` or `2.5s`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TextDuration(pub Duration);
 
@@ -63,48 +63,48 @@
 impl<'de> Deserialize<'de> for TextDuration {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        let error = || D::Error::invalid_value(Unexpected::Str(&text), &"a time such as 1500ms or 2.5s");
+        let error = || D::Error::invalid_value(Unexpected::Str(&text), &"a duration such as 1500ms or 2.5s");
         parse_duration(&text).map(TextDuration).ok_or_else(error)
     }
 }
 
-/// The settings of a process. Unknown keys are ignored: the platform may add some.
+/// The settings of a process. Unknown keys are ignored, because the platform may add some.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// The machine's name.
+    /// The name of the machine.
     pub node: String,
-    /// Its address.
+    /// The address of the machine.
     pub ip: Ipv4Addr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// The first and the last of the ports that are free for links between processes.
+    /// The first and the last port of the range that is reserved for links between processes.
     pub internal_ports: (u16, u16),
-    /// The control addresses of some core machines.
+    /// The control addresses of some of the core machines.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time, on empty disks.
+    /// Whether the whole system is bootstrapped, with empty disks.
     #[serde(default)]
     pub first_start: bool,
-    /// The folder for files, on a machine that has a disk.
+    /// The data directory, on a machine that has a disk.
     pub data_dir: Option<PathBuf>,
-    /// The interval of servers' heartbeats.
+    /// The interval at which servers send heartbeats.
     #[serde(default = "default_heartbeat")]
     pub heartbeat: TextDuration,
-    /// The zones' names and regions.
+    /// Zone names and their regions.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where the process listens.
+    /// The addresses on which the process listens.
     pub listen: Listen,
-    /// The parts of the rules that are in force.
+    /// The names of the guarantees that are in force.
     #[serde(default)]
     pub guarantees: Vec<String>,
-    /// The resources that it may use.
+    /// The resources that the process may use.
     #[serde(default)]
     pub limits: Limits,
-    /// What may be lost at once.
+    /// The simultaneous failures that the system must tolerate.
     #[serde(default)]
     pub tolerate: Tolerate,
-    /// The operator's bounds.
+    /// The bounds that the operator sets.
     #[serde(default)]
     pub bounds: Bounds,
 }
@@ -113,15 +113,15 @@
     TextDuration(Duration::from_millis(1500))
 }
 
-/// Where a process listens.
+/// The addresses on which a process listens.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Listen {
-    /// For clients.
+    /// Address for client requests.
     pub public_http: Option<SocketAddrV4>,
-    /// For readiness checks.
+    /// Address for readiness checks.
     pub readiness: Option<SocketAddrV4>,
-    /// For servers and operators.
+    /// Address for calls from servers and operators.
     pub control: Option<SocketAddrV4>,
 }
 
@@ -131,7 +131,7 @@
 pub struct Limits {
     /// Memory, in MiB.
     pub memory_mb: usize,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub file_limit: usize,
 }
 
@@ -141,47 +141,47 @@
     }
 }
 
-/// What may be lost at once.
+/// The simultaneous failures that the system must tolerate.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Tolerate {
-    /// Core machines.
+    /// The number of core machines that may be lost.
     pub machines: usize,
 }
 
-/// The operator's bounds, by the names that the settings give them.
+/// The bounds that the operator sets.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// How long ago partitions and restarts must lie for a machine to count as connected.
+    /// The time without partition or restart after which a machine counts as connected.
     pub contact: TextDuration,
-    /// For how long a machine counts as lost once it is back.
+    /// The time for which a machine that has returned still counts as lost.
     pub sync_time: TextDuration,
-    /// For how long a draining server still serves.
+    /// The time for which a draining server still serves requests.
     pub drain_timeout: TextDuration,
     /// The time from SIGTERM to SIGKILL.
     pub grace_period: TextDuration,
-    /// The time within which a change is in force everywhere.
+    /// The time within which a configuration change takes effect everywhere.
     pub apply: TextDuration,
-    /// The time after which a server's address may belong to another one.
+    /// The time after which the address of a server may be reused by another server.
     pub reuse_delay: TextDuration,
-    /// Retries as a share of the requests.
+    /// The maximum retries in a window, as a share of the requests.
     pub retry_ratio: f64,
     /// The window in which retries are counted.
     pub retry_window: TextDuration,
-    /// The number of retries on top.
+    /// The number of retries that are allowed in addition to that share.
     pub retry_extra: f64,
     /// The window in which quotas are counted.
     pub quota_period: TextDuration,
     /// The share by which a quota may be exceeded.
     pub quota_overrun: f64,
-    /// The number of requests by which it may, on top.
+    /// The number of requests by which a quota may be exceeded, in addition to that share.
     pub quota_margin: f64,
-    /// The share of a service's requests that a new version may get until it is known to be good.
+    /// The maximum share of a service's requests that a new version receives until it is known to be good.
     pub exposure_share: f64,
-    /// The number of requests that it may get on top.
+    /// The number of requests that a new version may receive in addition to that share.
     pub exposure_margin: f64,
-    /// The time within which a new version that was found to be bad gets nothing any more.
+    /// The time within which a new version that was found to be bad stops receiving requests.
     pub rollback: TextDuration,
 }
 
@@ -209,20 +209,20 @@
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// If the file cannot be read or used; the error names the key.
+    /// If the file cannot be read or is invalid; the error names the key.
     pub fn read(path: &Path) -> Result<Settings, FileError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| FileError::Unreadable { path: path.into(), error })?;
         Settings::parse(path, &text)
     }
 
-    /// Parses the text of a file.
+    /// Parses and validates the text of a settings file. `path` is named in errors.
     ///
     /// # Errors
-    /// If the text cannot be used; the error names the key.
+    /// If the text is invalid; the error names the key.
     pub fn parse(path: &Path, text: &str) -> Result<Settings, FileError> {
         let invalid = |key: String, reason: String| FileError::Invalid { path: path.into(), key, reason };
         let parsed =
@@ -231,25 +231,27 @@
             .map_err(|error| invalid(error.path().to_string(), error.inner().message().into()))?;
         let (first, last) = settings.internal_ports;
         if last < first.saturating_add(internal_port::LAST) {
-            let reason = format!("{first} to {last} are too few ports: three are wanted");
+            let reason = format!("{first} to {last} are too few ports: at least three are required");
             return Err(invalid("internal_ports".into(), reason));
         }
         match settings.bounds.invalid_number() {
-            Some(name) => Err(invalid(format!("bounds.{name}"), "a number from 0 on is wanted".into())),
+            Some(name) => {
+                Err(invalid(format!("bounds.{name}"), "a finite number of at least 0 is expected".into()))
+            }
             None => Ok(settings),
         }
     }
 
-    /// An address that a role must have.
+    /// Returns the address under the key `listen.{key}`, which the role of the process requires.
     ///
     /// # Errors
-    /// If the settings do not give it.
+    /// If the address is not set.
     pub fn required_address(
         path: &Path,
         key: &str,
         address: Option<SocketAddrV4>,
     ) -> Result<SocketAddrV4, FileError> {
-        let reason = "an address and port are wanted for what this role serves";
+        let reason = "this role requires an address and port";
         address.ok_or_else(|| FileError::Invalid {
             path: path.into(),
             key: format!("listen.{key}"),
@@ -257,7 +259,7 @@
         })
     }
 
-    /// The core machines that the settings name.
+    /// The addresses of the seed nodes, sorted and without duplicates.
     pub fn seeds(&self) -> Vec<Ipv4Addr> {
         let mut seeds: Vec<Ipv4Addr> = self.seed_nodes.iter().map(|seed| *seed.ip()).collect();
         seeds.sort();
@@ -265,15 +267,15 @@
         seeds
     }
 
-    /// The address at which a program of a machine accepts links: one of [`internal_port`]. The ports are the same on all
-    /// machines.
+    /// The address at which a program on `machine` accepts links. `port` is an offset from [`internal_port`]; the port range is
+    /// the same on all machines.
     pub fn internal_address(&self, machine: Ipv4Addr, port: u16) -> SocketAddrV4 {
         SocketAddrV4::new(machine, self.internal_ports.0.saturating_add(port))
     }
 }
 
 impl Bounds {
-    /// The name of a number that is negative or not finite.
+    /// Returns the name of the first number that is negative or not finite, if any.
     fn invalid_number(&self) -> Option<&'static str> {
         let numbers = [
             ("retry_ratio", self.retry_ratio),
--- a/crates/node-runtime/src/settings/tests.rs
+++ b/crates/node-runtime/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Which settings are read.
+//! Tests of the settings parser: defaults, unknown keys, error messages and malformed input.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn what_is_told_is_taken_and_what_is_not_known_passed_over() {
+fn reads_known_keys_and_ignores_unknown_ones() {
     let settings = parse(FILE).expect("settings");
     expect_that!(settings.bounds.apply.as_micros(), eq(2_500_000));
     expect_that!(settings.bounds.retry_extra, eq(62.0));
@@ -39,22 +39,22 @@
 }
 
 #[gtest]
-fn what_is_wrong_is_told_by_file_key_and_what_is_wanted() {
-    let why = |from: &str, to: &str| parse(&FILE.replace(from, to)).expect_err(to);
-    expect_that!(why("\"2.5s\"", "\"soon\""), starts_with("s.toml: bounds.apply: "));
-    expect_that!(why("\"2.5s\"", "\"soon\""), contains_substring("a time such as 1500ms"));
-    expect_that!(why("\"10.1.0.37\"", "\"here\""), starts_with("s.toml: ip: "));
-    expect_that!(why("[7560,7575]", "[7560,7561]"), ends_with("three are wanted"));
-    expect_that!(why("zone = \"a\"", ""), contains_substring("zone"));
-    expect_that!(why("[limits]", "[limits"), starts_with("s.toml: .: "));
+fn errors_name_the_file_the_key_and_the_expected_value() {
+    let error_text = |from: &str, to: &str| parse(&FILE.replace(from, to)).expect_err(to);
+    expect_that!(error_text("\"2.5s\"", "\"soon\""), starts_with("s.toml: bounds.apply: "));
+    expect_that!(error_text("\"2.5s\"", "\"soon\""), contains_substring("a duration such as 1500ms"));
+    expect_that!(error_text("\"10.1.0.37\"", "\"here\""), starts_with("s.toml: ip: "));
+    expect_that!(error_text("[7560,7575]", "[7560,7561]"), ends_with("at least three are required"));
+    expect_that!(error_text("zone = \"a\"", ""), contains_substring("zone"));
+    expect_that!(error_text("[limits]", "[limits"), starts_with("s.toml: .: "));
 }
 
 proptest! {
     #[test]
-    fn no_text_makes_it_panic(at in 0..FILE.len(), byte: u8, cut in 0..FILE.len()) {
-        let mut spoilt = FILE.as_bytes().to_vec();
-        spoilt[at] = byte;
-        let _ = parse(&String::from_utf8_lossy(&spoilt));
-        let _ = parse(&FILE[..cut]);
+    fn malformed_text_does_not_panic(index in 0..FILE.len(), byte: u8, length in 0..FILE.len()) {
+        let mut corrupted = FILE.as_bytes().to_vec();
+        corrupted[index] = byte;
+        let _ = parse(&String::from_utf8_lossy(&corrupted));
+        let _ = parse(&FILE[..length]);
     }
 }
--- a/crates/node-runtime/src/settings_watch.rs
+++ b/crates/node-runtime/src/settings_watch.rs
@@ -1,4 +1,4 @@
-//! The reload of settings: on SIGHUP, and when the file changes without a signal.
+//! Reloads the settings on SIGHUP and when the file changes.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -11,10 +11,10 @@
 #[cfg(test)]
 mod tests;
 
-/// How often the file is checked for a change.
+/// The interval at which the file is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What tells two versions of a file apart.
+/// File metadata by which a change is detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     modified: SystemTime,
@@ -26,11 +26,11 @@
     Some(FileStamp { modified: metadata.modified().ok()?, length: metadata.len() })
 }
 
-/// Calls `apply` with the settings each time the file has changed, or on SIGHUP. A file that cannot be used is logged, and
-/// what was in force stays. Runs until it is dropped.
+/// Calls `apply` with the settings on SIGHUP and each time that the file has changed. If the file is invalid, a warning is
+/// logged and the current settings stay in force. Runs until the future is dropped, unless SIGHUP cannot be handled.
 pub async fn watch(path: PathBuf, mut apply: impl FnMut(Settings)) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        return log::error!("SIGHUP cannot be handled");
+        return log::error!("settings are not reloaded: SIGHUP cannot be handled");
     };
     let mut applied = stamp(&path);
     loop {
@@ -45,7 +45,7 @@
         applied = current;
         match Settings::read(&path) {
             Ok(settings) => apply(settings),
-            Err(error) => log::warn!("settings stay as they were: {error}"),
+            Err(error) => log::warn!("settings not reloaded, the current ones stay in force: {error}"),
         }
     }
 }
