--- a/crates/pinectl/src/check.rs
+++ b/crates/pinectl/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether the body of a call is valid, with the code of the servers of the call, and where in the body it is not.
+//! Validates the body of a call with the same code as the stores, and locates each error in the body.
 
 use pinerelay_config_state::{json, operator_call, validation, Item, ItemSet, Key, Kind, ValidationError};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
@@ -9,10 +9,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Parses a body, and validates it on top of the current configuration: its items, or each error with a JSON pointer.
+/// Parses a body and validates it against the current configuration. Returns its items.
 ///
 /// # Errors
-/// Each error of an item, or of items together. A body with a wrong layout has one error, as nothing behind it can be parsed.
+/// All errors of single items or, if there are none, all errors between items, with JSON pointers into the body where the
+/// location is known. A malformed body has a single error, because parsing stops there.
 pub fn check(current: &ItemSet, body: &[u8]) -> Result<Vec<Item>, Vec<ValidationError>> {
     let items = operator_call::parse_update(body).map_err(|error| vec![error])?;
     let body = json::parse(body, &json::OPERATOR_CALL).unwrap_or_default();
@@ -32,8 +33,8 @@
     }
 }
 
-/// Errors of items that are not valid together. Each item with an error is left out of the next check: only routes and tenants
-/// have such errors, and nothing refers to them.
+/// Returns the errors between items. Each item with an error is removed before the next pass; this causes no further errors, as
+/// only routes and tenants have such errors and nothing refers to them.
 fn check_references(current: &ItemSet, items: &[Item], body: &Value) -> Vec<ValidationError> {
     let (mut current, mut items) = (current.clone(), items.to_vec());
     let mut errors = Vec::new();
@@ -49,7 +50,7 @@
             .filter(|requested| current.get(&key).is_none_or(|old| old.version.revision < *requested));
         errors.push(match newest {
             Some(requested) => with_pointer(body, &key, requested, &error),
-            // It is in the current configuration, and the call contradicts it.
+            // The item is in the current configuration and conflicts with the call.
             None => error,
         });
         let before = (current.len(), items.len());
@@ -62,7 +63,7 @@
     errors
 }
 
-/// The item that a validation error names, such as `Route r/service`.
+/// Returns the key of the item in the location of a validation error, such as `Route r/service`.
 fn key_of(location: &str) -> Option<Key> {
     let (item, _) = location.rsplit_once('/')?;
     let (kind, name) = item.split_once(' ')?;
@@ -70,7 +71,7 @@
     Some(Key::new(kind, name))
 }
 
-/// A validation error with a pointer into the body.
+/// Replaces the location of a validation error with a JSON pointer into the body, if the item is found there.
 fn with_pointer(body: &Value, key: &Key, revision: u64, error: &ValidationError) -> ValidationError {
     let field = error.location.rsplit_once('/').map_or("", |(_, field)| field);
     let reason = format!("{}: {}", error.location, error.reason);
@@ -80,7 +81,7 @@
     }
 }
 
-/// The pointer to a field of an upserted item; to its record, where the field is in no column.
+/// Returns the JSON pointer to a field of an upserted item, or to its record if no column holds the field.
 fn pointer(body: &Value, key: &Key, revision: u64, field: &str) -> Option<String> {
     let (list, _) = KINDS.iter().find(|(_, kind)| *kind == key.kind)?;
     let upserted = body.get("upsert")?.get(*list)?;
@@ -96,12 +97,12 @@
             && record.get(revision_column).and_then(|value| value.as_u64()) == Some(revision)
     })?;
     let record = format!("/upsert/{list}/records/{record}");
-    // A route's service may be named by its traffic split.
+    // The service of a route may come from its traffic split.
     let at = column(field).or_else(|| column("traffic_split").filter(|_| field == "service"));
     Some(at.map_or(record.clone(), |at| format!("{record}/{at}")))
 }
 
-/// Errors as a table.
+/// Returns the errors as a table.
 pub fn table(errors: &[ValidationError]) -> Table {
     let mut table = Table::new("errors", &["at", "reason"]);
     for error in errors {
--- a/crates/pinectl/src/check/tests.rs
+++ b/crates/pinectl/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Each error has its pointer, and the check agrees with the stores.
+//! Tests that each error has a JSON pointer, and that the check accepts the same bodies as the stores.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -17,18 +17,18 @@
 }
 
 #[gtest]
-fn each_error_has_its_pointer() {
+fn each_error_has_a_json_pointer() {
     expect_that!(errors(BODY), is_empty());
-    let odd =
+    let invalid_fields =
         BODY.replace("\"/x/\"", "\"x\"").replace("\"/y/\",\"safe\",\"2s\"", "\"/y/\",\"safe\",\"soon\"");
-    let odd = odd.replace("\"header_timeout\":\"2s\"", "\"header_timeout\":2");
-    let all = errors(&odd);
+    let invalid_fields = invalid_fields.replace("\"header_timeout\":\"2s\"", "\"header_timeout\":2");
+    let all = errors(&invalid_fields);
     assert_that!(all.len(), eq(3));
     expect_that!(all[0], starts_with("/upsert/routes/records/0/3: Route r1/path_prefix: a path"));
     expect_that!(all[1], starts_with("/upsert/routes/records/1/5: Route r2/timeout: a time"));
     expect_that!(all[2], starts_with("/upsert/limits/header_timeout: Limits limits/header_timeout: a"));
-    let apart = BODY.replace("[[\"s1\",7],[\"s2\",7]]", "[]").replace("k2", "k1");
-    let all = errors(&apart);
+    let invalid_references = BODY.replace("[[\"s1\",7],[\"s2\",7]]", "[]").replace("k2", "k1");
+    let all = errors(&invalid_references);
     assert_that!(all.len(), eq(3));
     expect_that!(all[0], starts_with("/upsert/routes/records/0/6: Route r1/service: there is no"));
     expect_that!(all[1], starts_with("/upsert/routes/records/1/6: Route r2/service: there is no"));
@@ -37,20 +37,20 @@
 }
 
 #[gtest]
-fn the_current_configuration_counts_too() {
+fn references_from_the_current_configuration_are_checked() {
     let mut current = ItemSet::default();
     current.merge_all(check(&current, BODY.as_bytes()).expect("it fits"));
-    let drops = br#"{"remove":{"services":[{"name":"s1","revision":8}]}}"#;
-    let all = check(&current, drops).expect_err("a route needs it");
+    let removal = br#"{"remove":{"services":[{"name":"s1","revision":8}]}}"#;
+    let all = check(&current, removal).expect_err("a route refers to the removed service");
     expect_that!(all[0].to_string(), eq("Route r1/service: there is no service s1"));
-    expect_that!(check(&ItemSet::default(), drops).is_ok(), eq(true));
+    expect_that!(check(&ItemSet::default(), removal).is_ok(), eq(true));
 }
 
 proptest! {
     #[test]
-    fn the_check_agrees_with_the_validation_of_the_stores(at in 0..BODY.len(), byte in 0x20..0x7f_u8) {
+    fn the_check_agrees_with_the_validation_of_the_stores(index in 0..BODY.len(), byte in 0x20..0x7f_u8) {
         let mut body = BODY.as_bytes().to_vec();
-        body[at] = byte;
+        body[index] = byte;
         let expected = operator_call::parse_update(&body).is_ok_and(|items| validation::accept_update(&ItemSet::default(), &items).is_ok());
         prop_assert_eq!(check(&ItemSet::default(), &body).is_ok(), expected);
     }
--- a/crates/pinectl/src/command.rs
+++ b/crates/pinectl/src/command.rs
@@ -1,4 +1,4 @@
-//! The client's command line.
+//! Command line of the client.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -11,26 +11,26 @@
 #[cfg(test)]
 mod tests;
 
-/// What the client is to do.
+/// The action that a command line requests.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Action {
     /// List processes.
     Nodes,
     /// List servers.
     Servers,
-    /// List items of the configuration, of one kind or all.
+    /// List the configuration items of one kind, or of all kinds.
     Items(Option<Kind>),
-    /// List duties.
+    /// List the duties of the registries.
     Duties,
-    /// Check the body of a call.
+    /// Validate the body of a `config.update` call, read from this file.
     Check(PathBuf),
-    /// Tell what a call would change.
+    /// Show what a call would change, without sending it.
     Diff(PathBuf),
     /// Send a call.
     Apply {
-        /// The file with its body.
+        /// The file with the body of the call.
         path: PathBuf,
-        /// Only tell what it would change.
+        /// Show what the call would change, and do not send it.
         is_dry_run: bool,
     },
     /// Print the current configuration.
@@ -40,9 +40,9 @@
 /// An action with its options.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Invocation {
-    /// What to do.
+    /// The action.
     pub action: Action,
-    /// Which processes to ask.
+    /// The processes to query.
     pub targets: TargetOptions,
     /// Whether to print JSON.
     pub as_json: bool,
@@ -51,62 +51,62 @@
 /// A parsed command line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Execute this.
+    /// Execute this invocation.
     Execute(Invocation),
-    /// Print the completion for bash and end.
+    /// Print the completion script for bash and exit.
     PrintCompletion,
-    /// Print this text and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// Which processes are asked, as the command line names them.
+/// The command-line options that select the processes to query.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct TargetOptions {
-    /// Control addresses.
+    /// Control addresses of registries.
     pub control_addresses: Vec<SocketAddrV4>,
-    /// A settings file, whose seeds are asked if no address is named.
+    /// A settings file, whose seed nodes are queried if no address is given.
     pub settings: Option<PathBuf>,
-    /// The first internal port, in place of that of the settings.
+    /// The first internal port; overrides that of the settings file.
     pub first_internal_port: Option<u16>,
 }
 
-/// Where processes are asked.
+/// The resolved addresses of the processes to query.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Endpoints {
-    /// Control addresses.
+    /// Control addresses of registries.
     pub control: Vec<SocketAddrV4>,
     /// The first internal port, if it is known.
     pub first_internal_port: Option<u16>,
 }
 
-/// Where registries are asked over internal links.
+/// The addresses at which registries are queried over internal links.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InternalEndpoints {
-    /// Their machines.
+    /// The addresses of the registries' machines.
     pub machines: Vec<Ipv4Addr>,
-    /// The first internal port of each.
+    /// The first internal port, which is the same on all machines.
     pub first_port: u16,
 }
 
 impl Endpoints {
-    /// The internal endpoints.
+    /// Returns the endpoints for queries over internal links.
     ///
     /// # Errors
     /// If the internal port is not known.
     pub fn internal(&self) -> Result<InternalEndpoints, CommandError> {
         let first_port = self.first_internal_port.ok_or(CommandError::Missing(
-            "the internal port is not known: --internal PORT or --settings FILE is wanted",
+            "the internal port is not known: --internal PORT or --settings FILE is required",
         ))?;
         let machines = self.control.iter().map(|address| *address.ip()).collect();
         Ok(InternalEndpoints { machines, first_port })
     }
 }
 
-/// The first words of a command.
+/// The commands.
 pub const COMMANDS: [&str; 6] = ["nodes", "servers", "items", "duties", "config", "completion"];
-/// The words after `config`.
+/// The subcommands of `config`.
 pub const CONFIG_COMMANDS: [&str; 4] = ["check", "diff", "apply", "read"];
-/// The kinds that `items` takes, by their names.
+/// The kinds that `items` accepts, by their names.
 pub const KINDS: [(&str, Kind); 4] = [
     ("routes", Kind::Route),
     ("tenants", Kind::Tenant),
@@ -117,28 +117,28 @@
 pub const OPTIONS: [&str; 7] = ["at", "settings", "internal", "json", "dry-run", "version", "help"];
 
 const USAGE: &str =
-    "pinectl: shows what the gateway's processes know, and checks, compares and sends configuration
+    "pinectl: shows the state of the gateway's processes, and checks, compares and applies configuration
 usage: pinectl nodes | servers | items [KIND] | duties
        pinectl config check FILE | diff FILE | apply FILE [--dry-run] | read
        pinectl completion bash
-Exit codes: 0 done, 1 rejected or invalid, 2 a command line that can't be parsed, 3 not reached or partial.";
+Exit codes: 0 success, 1 rejected or invalid, 2 invalid command line, 3 unreachable or partial result.";
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optmulti("a", "at", "a registry's control address; may be given more than once", "ADDRESS");
-    options.optopt("s", "settings", "a settings file: its seeds are asked, at its internal ports", "FILE");
-    options.optopt("i", "internal", "the first internal port, without a settings file", "PORT");
+    options.optmulti("a", "at", "control address of a registry; can be repeated", "ADDRESS");
+    options.optopt("s", "settings", "settings file; provides the seed nodes and internal ports", "FILE");
+    options.optopt("i", "internal", "the first internal port; overrides the settings file", "PORT");
     options.optflag("j", "json", "print JSON");
-    options.optflag("n", "dry-run", "config apply: tell what would change and send nothing");
-    options.optflag("V", "version", "print the version and end");
-    options.optflag("h", "help", "print this and end");
+    options.optflag("n", "dry-run", "config apply: show what would change, send nothing");
+    options.optflag("V", "version", "print the version and exit");
+    options.optflag("h", "help", "print this help and exit");
     options
 }
 
-/// Parses a command line without the program's name.
+/// Parses the command line, without the program's name.
 ///
 /// # Errors
-/// If a word or an option is unknown or missing, or has a value that cannot be used.
+/// If an argument or option is unknown, missing or invalid.
 pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Command, CommandError> {
     let options = options();
     let matches = options.parse(arguments)?;
@@ -148,23 +148,23 @@
     if matches.opt_present("V") {
         return Ok(Command::Print(format!("pinectl {}", env!("CARGO_PKG_VERSION"))));
     }
-    let mut words = matches.free.iter().map(String::as_str);
+    let mut positionals = matches.free.iter().map(String::as_str);
     let is_dry_run = matches.opt_present("n");
-    let action = match words.next() {
-        Some("completion") => return parse_completion(words.next()),
-        Some(word) => parse_action(word, &mut words, is_dry_run)?,
+    let action = match positionals.next() {
+        Some("completion") => return parse_completion(positionals.next()),
+        Some(word) => parse_action(word, &mut positionals, is_dry_run)?,
         None => return Err(unknown_command("")),
     };
-    if let Some(word) = words.next() {
+    if let Some(word) = positionals.next() {
         return Err(CommandError::UnknownArgument(word.into(), "nothing more"));
     }
     if is_dry_run && !matches!(action, Action::Apply { .. }) {
-        return Err(CommandError::Missing("--dry-run goes with config apply alone"));
+        return Err(CommandError::Missing("--dry-run is only valid with config apply"));
     }
     let targets = parse_targets(&matches)?;
     let has_target = !targets.control_addresses.is_empty() || targets.settings.is_some();
     if !has_target && !matches!(action, Action::Check(_)) {
-        return Err(CommandError::Missing("one of --at ADDRESS and --settings FILE is wanted"));
+        return Err(CommandError::Missing("one of --at ADDRESS and --settings FILE is required"));
     }
     Ok(Command::Execute(Invocation { action, targets, as_json: matches.opt_present("j") }))
 }
@@ -185,27 +185,27 @@
 
 fn parse_action<'a>(
     word: &str,
-    words: &mut impl Iterator<Item = &'a str>,
+    positionals: &mut impl Iterator<Item = &'a str>,
     is_dry_run: bool,
 ) -> Result<Action, CommandError> {
     match word {
         "nodes" => Ok(Action::Nodes),
         "servers" => Ok(Action::Servers),
         "duties" => Ok(Action::Duties),
-        "items" => Ok(Action::Items(words.next().map(parse_kind).transpose()?)),
-        "config" => parse_config_action(words, is_dry_run),
+        "items" => Ok(Action::Items(positionals.next().map(parse_kind).transpose()?)),
+        "config" => parse_config_action(positionals, is_dry_run),
         other => Err(unknown_command(other)),
     }
 }
 
 fn parse_config_action<'a>(
-    words: &mut impl Iterator<Item = &'a str>,
+    positionals: &mut impl Iterator<Item = &'a str>,
     is_dry_run: bool,
 ) -> Result<Action, CommandError> {
-    let word = words.next().unwrap_or_default();
+    let word = positionals.next().unwrap_or_default();
     let mut path = || {
-        let missing = CommandError::Missing("a file with the body of a call is wanted");
-        words.next().map(PathBuf::from).ok_or(missing)
+        let missing = CommandError::Missing("a file with the body of a call is required");
+        positionals.next().map(PathBuf::from).ok_or(missing)
     };
     match word {
         "check" => Ok(Action::Check(path()?)),
@@ -240,10 +240,10 @@
 }
 
 impl TargetOptions {
-    /// The endpoints that they name. Reads the settings file, if there is one.
+    /// Returns the endpoints that the options select. Reads the settings file, if one is given.
     ///
     /// # Errors
-    /// If the settings file cannot be used, or names no seeds where no address is given.
+    /// If the settings file is invalid, or if it lists no seed nodes and no address is given.
     pub fn resolve(&self) -> Result<Endpoints, CommandError> {
         let mut endpoints = Endpoints {
             control: self.control_addresses.clone(),
@@ -258,7 +258,7 @@
             return Err(CommandError::Settings(SettingsError::File(FileError::Invalid {
                 path: path.clone(),
                 key: "seed_nodes".into(),
-                reason: "an address is wanted, or --at ADDRESS".into(),
+                reason: "at least one address is required, unless --at ADDRESS is given".into(),
             })));
         }
         endpoints.first_internal_port = endpoints.first_internal_port.or(Some(settings.internal_ports.0));
--- a/crates/pinectl/src/command/tests.rs
+++ b/crates/pinectl/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Command lines that are accepted, and what is reported of those that are not.
+//! Tests of the command-line parser and its error messages.
 
 use googletest::prelude::*;
 
@@ -9,21 +9,21 @@
 }
 
 #[gtest]
-fn a_line_names_an_action_and_its_targets() {
+fn parses_actions_and_targets_and_reports_invalid_arguments() {
     let targets = || TargetOptions {
         control_addresses: vec!["127.0.0.1:9".parse().expect("an address")],
         ..TargetOptions::default()
     };
-    let wanted = |action, targets| Ok(Command::Execute(Invocation { action, targets, as_json: false }));
-    expect_that!(parsed("nodes --at 127.0.0.1:9"), eq(&wanted(Action::Nodes, targets())));
+    let expected = |action, targets| Ok(Command::Execute(Invocation { action, targets, as_json: false }));
+    expect_that!(parsed("nodes --at 127.0.0.1:9"), eq(&expected(Action::Nodes, targets())));
     expect_that!(
         parsed("items tenant --at 127.0.0.1:9"),
-        eq(&wanted(Action::Items(Some(Kind::Tenant)), targets()))
+        eq(&expected(Action::Items(Some(Kind::Tenant)), targets()))
     );
     let check = Action::Check("f".into());
-    expect_that!(parsed("config check f"), eq(&wanted(check, TargetOptions::default())));
+    expect_that!(parsed("config check f"), eq(&expected(check, TargetOptions::default())));
     let apply = Action::Apply { path: "f".into(), is_dry_run: true };
-    expect_that!(parsed("config apply f --dry-run --at 127.0.0.1:9"), eq(&wanted(apply, targets())));
+    expect_that!(parsed("config apply f --dry-run --at 127.0.0.1:9"), eq(&expected(apply, targets())));
     expect_that!(parsed("nodes"), err(starts_with("one of --at")));
     expect_that!(parsed("move"), err(starts_with("\"move\": nodes, servers")));
     expect_that!(parsed(""), err(starts_with("\"\": nodes")));
--- a/crates/pinectl/src/completion.rs
+++ b/crates/pinectl/src/completion.rs
@@ -1,8 +1,8 @@
-//! Completion for shells.
+//! Shell completion.
 
 use crate::command::{COMMANDS, CONFIG_COMMANDS, KINDS, OPTIONS};
 
-/// A script for bash, to be sourced.
+/// Returns the completion script for bash, which is to be sourced.
 pub fn bash() -> String {
     let kinds: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
     let options: Vec<String> = OPTIONS.iter().map(|name| format!("--{name}")).collect();
--- a/crates/pinectl/src/control_client.rs
+++ b/crates/pinectl/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the control addresses of registries.
+//! Client for the control addresses of registries.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,51 +14,51 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long an answer is waited for. A registry answers each call within a second.
+/// Timeout of one exchange. A registry answers each call within a second.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The most bytes of an answer.
+/// The maximum length of an answer, in bytes.
 const MAX_ANSWER_LENGTH: usize = 64 << 20;
-/// How often all addresses are tried.
+/// The number of times that each address is tried.
 const ROUNDS: usize = 2;
 
-/// A definite answer.
+/// A definite answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The address that gave it.
+    /// The address that answered.
     pub from: SocketAddrV4,
-    /// Its status: 2xx or 4xx.
+    /// The HTTP status: 2xx, or 4xx except 408 and 429.
     pub status: u16,
-    /// Its body.
+    /// The response body.
     pub body: String,
 }
 
 /// Why a call has failed.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// No address gave a definite answer; why, for each address of the last round.
-    #[error("no clear answer: {}", .0.join("; "))]
+    /// No address gave a definite answer; the reason for each address in the last round.
+    #[error("no definite answer: {}", .0.join("; "))]
     Indefinite(Vec<String>),
     /// The call was rejected.
     #[error("{from}: rejected with {status}: {body}")]
     Rejected {
         /// The address that rejected it.
         from: SocketAddrV4,
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// The reason.
+        /// The response body, which gives the reason.
         body: String,
     },
-    /// The configuration that was answered cannot be parsed.
-    #[error("{from}: the configuration can't be read: {error}")]
+    /// The configuration in the answer cannot be parsed.
+    #[error("{from}: the configuration cannot be parsed: {error}")]
     Unreadable {
         /// The address that answered.
         from: SocketAddrV4,
-        /// What is wrong.
+        /// The parse error.
         error: ValidationError,
     },
 }
 
-/// Why one exchange has failed.
+/// Why an exchange with one address has failed.
 #[derive(Debug, Error)]
 enum ExchangeError {
     #[error(transparent)]
@@ -98,21 +98,20 @@
         tokio::select! {
             biased;
             answer = &mut answer => return answer,
-            // An error of the connection is reported by the sender as well.
+            // The sender reports connection errors, too.
             _ = &mut connection, if is_open => is_open = false,
         }
     }
 }
 
-/// Whether a status tells that a call was accepted, or that it never will be.
+/// Whether a status means that the call was accepted, or that a retry would be rejected as well.
 fn is_definite(status: u16) -> bool {
     matches!(status, 200..=299 | 400..=499) && !matches!(status, 408 | 429)
 }
 
-/// Makes a call: sends it unchanged to one address after the other until an answer is definite.
+/// Sends a call unchanged to one address after the other until an answer is definite.
 ///
-/// A call without a definite answer may have taken effect all the same, so only one that has no further effect when it is
-/// received twice may be made.
+/// A call without a definite answer may still have taken effect and is sent again, so calls must be idempotent.
 ///
 /// # Errors
 /// If no address has given a definite answer.
@@ -137,7 +136,7 @@
     Err(ControlError::Indefinite(last_round))
 }
 
-/// The current configuration as text.
+/// Reads the current configuration as text.
 ///
 /// # Errors
 /// If no address has given a definite answer, or the call was rejected.
@@ -149,19 +148,19 @@
     }
 }
 
-/// The items of the current configuration. Removed items are not among them: no call tells of those.
+/// Reads the items of the current configuration. Tombstones of removed items are not included, because no call returns them.
 ///
 /// # Errors
-/// As [`read`], or if the answer cannot be parsed.
+/// As for [`read`], or if the answer cannot be parsed.
 pub async fn read_items(addresses: &[SocketAddrV4]) -> Result<ItemSet, ControlError> {
     let answer = read(addresses).await?;
     parse_configuration(&answer.body).map_err(|error| ControlError::Unreadable { from: answer.from, error })
 }
 
-/// Parses the text that `config.read` answers.
+/// Parses the answer to `config.read`.
 ///
 /// # Errors
-/// What is wrong, and where.
+/// If the text is not a valid configuration; the error names the location.
 pub fn parse_configuration(text: &str) -> Result<ItemSet, ValidationError> {
     let mut items = ItemSet::default();
     let call = format!("{{\"upsert\":{text}}}");
--- a/crates/pinectl/src/diff.rs
+++ b/crates/pinectl/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a call would change of the current configuration, item by item.
+//! Computes what a call would change in the current configuration, item by item.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 #[cfg(test)]
 mod tests;
 
-/// What a call does to an item.
+/// The effect of a call on an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// The item does not exist, and will.
+    /// The item does not exist and is created.
     Create,
-    /// The item exists at an older revision.
+    /// The item exists at an older revision and is replaced.
     Update,
-    /// The item exists, and will not any more.
+    /// The item exists and is removed.
     Remove,
-    /// The item does not exist. Only a tombstone is kept, which keeps older revisions of it away.
+    /// The item to remove does not exist. Only a tombstone is stored, which blocks older revisions of the item.
     TombstoneOnly,
-    /// A newer revision exists: no effect.
+    /// A newer revision exists; the call has no effect on the item.
     Outdated,
-    /// This revision exists with other content: the call is rejected.
+    /// The same revision exists with other content; the call is rejected.
     Conflict,
 }
 
 impl Effect {
-    /// In words.
+    /// The effect as it is shown in reports.
     pub fn name(self) -> &'static str {
         match self {
             Effect::Create => "create",
@@ -41,39 +41,39 @@
         }
     }
 
-    /// Whether the configuration changes.
+    /// Whether the effect changes the live configuration; a tombstone alone does not.
     pub fn changes_configuration(self) -> bool {
         matches!(self, Effect::Create | Effect::Update | Effect::Remove)
     }
 }
 
-/// A field that differs, with its JSON before and after; `None` if it does not exist.
+/// A field that differs, with its JSON before and after the call; `None` if it does not exist.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldChange {
-    /// Its name.
+    /// The name of the field.
     pub name: String,
-    /// Before.
+    /// The value before the call.
     pub old: Option<String>,
-    /// After.
+    /// The value after the call.
     pub new: Option<String>,
 }
 
-/// What a call does to one item.
+/// The change that a call makes to one item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemChange {
     /// The item.
     pub key: Key,
-    /// What the call does to it.
+    /// The effect of the call on the item.
     pub effect: Effect,
-    /// The revision that exists, if any.
+    /// The current revision, if any.
     pub current_revision: Option<u64>,
-    /// The revision of the call.
+    /// The revision in the call.
     pub requested_revision: u64,
-    /// Fields that differ. Of an item that is new, or on which the call has no effect, they are those of the call.
+    /// The fields that differ between the current item and the call; empty for [`Effect::Remove`].
     pub fields: Vec<FieldChange>,
 }
 
-/// The fields of an item as JSON, by name.
+/// Returns the fields of an item as JSON, by name.
 fn fields_of(item: Option<&Item>) -> BTreeMap<String, String> {
     let value = item.and_then(|item| json::parse(item.value.as_deref()?, &json::STORED).ok());
     let object = value.as_ref().and_then(|value| value.as_object());
@@ -85,7 +85,7 @@
         .collect()
 }
 
-/// Fields that differ, without the revision, which is shown in a column of its own.
+/// Returns the fields that differ, except the revision, which has its own column.
 fn changed_fields(old: Option<&Item>, new: &Item) -> Vec<FieldChange> {
     let (old, new) = (fields_of(old), fields_of(Some(new)));
     let mut names: Vec<&String> = old.keys().chain(new.keys()).filter(|name| *name != "revision").collect();
@@ -99,7 +99,7 @@
     names.into_iter().map(change).filter(|change| change.old != change.new).collect()
 }
 
-/// What a requested item does; `None` if it is the current one.
+/// Returns the effect of a requested item; `None` if it equals the current one.
 fn effect(current: Option<&Item>, requested: &Item) -> Option<Effect> {
     let exists = current.is_some_and(|current| current.value.is_some());
     if let Some(current) = current {
@@ -133,15 +133,15 @@
     })
 }
 
-/// What a call's items would change. Items that are current already, as they are in the call, are left out.
+/// Returns the changes that the items of a call would make. Items that equal the current ones are omitted.
 pub fn diff(current: &ItemSet, call: &[Item]) -> Vec<ItemChange> {
-    // Of two versions of one item in a call the higher prevails.
+    // If a call has two versions of an item, the higher one wins.
     let mut requested = ItemSet::default();
     requested.merge_all(call.iter().cloned());
     requested.iter().filter_map(|item| item_change(current.get(&item.key), item)).collect()
 }
 
-/// Changes as a table: one row for each field of a changed item, or one for the item.
+/// Returns the changes as a table: one row per changed field, or a single row for an item without changed fields.
 pub fn table(changes: &[ItemChange]) -> Table {
     let columns = ["kind", "name", "effect", "current", "requested", "field", "old", "new"];
     let mut table = Table::new("changes", &columns);
@@ -154,7 +154,7 @@
             Cell::Integer(change.requested_revision),
         ];
         let fields: &[FieldChange] = if change.effect == Effect::Outdated { &[] } else { &change.fields };
-        // The name is in the second column.
+        // The name has its own column.
         let mut fields = fields.iter().filter(|field| field.name != "name").peekable();
         if fields.peek().is_none() {
             table.rows.push(head.iter().cloned().chain([const { Cell::None }; 3]).collect());
--- a/crates/pinectl/src/diff/tests.rs
+++ b/crates/pinectl/src/diff/tests.rs
@@ -1,4 +1,4 @@
-//! Changes that are listed are those that the stores would make.
+//! Tests that the computed changes are those that the stores would make.
 
 use googletest::prelude::*;
 use pinerelay_config_state::{operator_call, validation, Kind};
@@ -7,7 +7,7 @@
 use super::*;
 use crate::control_client;
 
-/// Calls over a few services, whose fields and revisions are random.
+/// Generates calls over a few services with random fields and revisions.
 fn calls() -> impl Strategy<Value = Vec<Item>> {
     let one = (0..5_u8, 0..6_u64, proptest::option::of((0..3_u64, proptest::option::of(0..3_u8))));
     proptest::collection::vec(one, 0..12).prop_map(|all| {
@@ -24,7 +24,7 @@
     })
 }
 
-/// What stands once changes are made, from what they say alone.
+/// Applies changes to a configuration, using only the information in the changes.
 fn applied(current: &ItemSet, changes: &[ItemChange]) -> ItemSet {
     let mut next = current.clone();
     for change in changes
@@ -50,24 +50,24 @@
 
 proptest! {
     #[test]
-    fn a_diff_that_is_applied_gives_the_configuration_that_the_stores_would_have(first in calls(), second in calls()) {
+    fn applying_a_diff_yields_the_configuration_of_the_stores(first in calls(), second in calls()) {
         let mut current = ItemSet::default();
-        let twins = |call: &[Item]| {
+        let has_conflicting_versions = |call: &[Item]| {
             let same = |a: &Item, b: &Item| a.key == b.key && a.version.revision == b.version.revision && a != b;
             call.iter().any(|a| call.iter().any(|b| same(a, b)))
         };
-        // One number with two contents is refused, and services alone fit each other anyhow.
+        // One revision with two contents is rejected, so duplicates are removed. Services have no references to each other.
         let mut first = first;
         first.sort_by_key(|item| (item.key.clone(), item.version.revision));
         first.dedup_by_key(|item| (item.key.clone(), item.version.revision));
-        let accepted = validation::accept_update(&current, &first).expect("services fit");
+        let accepted = validation::accept_update(&current, &first).expect("services without duplicate revisions are valid");
         current.merge_all(accepted);
         let changes = diff(&current, &second);
-        let other = |item: &Item| {
+        let conflicts_with_current = |item: &Item| {
             current.get(&item.key).is_some_and(|old| old.version.revision == item.version.revision && old != item)
         };
         let accepted = validation::accept_update(&current, &second);
-        prop_assert_eq!(accepted.is_err(), second.iter().any(other) || twins(&second));
+        prop_assert_eq!(accepted.is_err(), second.iter().any(conflicts_with_current) || has_conflicting_versions(&second));
         prop_assert!(accepted.is_err() || changes.iter().all(|change| change.effect != Effect::Conflict));
         let accepted = match accepted {
             Ok(accepted) => accepted,
@@ -81,18 +81,18 @@
         let applied = applied(&current, &changes);
         prop_assert!(applied.iter().eq(next.iter()));
         prop_assert_eq!(applied.digest(), next.digest());
-        // Whatever stands differs from itself in nothing, and neither does it once it was written and read.
+        // A configuration has no difference to itself, nor to its rendered and parsed copy.
         let all: Vec<Item> = next.iter().cloned().collect();
         prop_assert_eq!(diff(&next, &all), vec![]);
-        let read = control_client::parse_configuration(&operator_call::render_configuration(&next)).expect("what was written");
-        let left: Vec<Item> = read.iter().cloned().collect();
-        prop_assert_eq!(diff(&next, &left), vec![]);
+        let parsed = control_client::parse_configuration(&operator_call::render_configuration(&next)).expect("the rendered configuration is parsed");
+        let parsed_items: Vec<Item> = parsed.iter().cloned().collect();
+        prop_assert_eq!(diff(&next, &parsed_items), vec![]);
         prop_assert!(diff(&next, &second).iter().all(|change| !change.effect.changes_configuration()));
     }
 }
 
 #[gtest]
-fn each_item_is_listed_with_its_fields() {
+fn each_effect_is_listed_with_its_fields() {
     let item = |name: &str, revision, text: Option<&str>| {
         Item::with_revision(Key::new(Kind::Service, name), revision, text.map(|t| t.as_bytes().to_vec()))
     };
--- a/crates/pinectl/src/execute.rs
+++ b/crates/pinectl/src/execute.rs
@@ -1,4 +1,4 @@
-//! Executes what the command line says.
+//! Executes a parsed command line.
 
 use std::io::Write;
 use std::net::SocketAddrV4;
@@ -17,17 +17,17 @@
 use crate::snapshot::{take_snapshot, Scope, Snapshot};
 use crate::{check, completion, listings};
 
-/// How an invocation ended, as its exit code tells.
+/// The result of an invocation; the discriminant is the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// All was done.
+    /// The action was completed.
     Done = 0,
     /// The configuration is invalid, or was rejected.
     Rejected = 1,
     /// The command line cannot be parsed.
     Usage = 2,
-    /// Nothing was reached, or not all.
+    /// Some or all processes were unreachable, or no answer was definite.
     Partial = 3,
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// Why an action has ended without a report.
+/// Why an action failed without a report.
 #[derive(Debug, Error)]
 pub enum ExecuteError {
-    /// The command line does not say enough, or its settings file cannot be used.
+    /// The command line is incomplete, or its settings file is invalid.
     #[error(transparent)]
     Command(#[from] CommandError),
-    /// The file with a call cannot be read.
-    #[error("{path}: {error}; the body of a config.update call is wanted")]
+    /// The file with the body of a call cannot be read.
+    #[error("{path}: {error}; expected a file with the body of a config.update call")]
     File {
         /// The file.
         path: PathBuf,
@@ -54,7 +54,7 @@
     /// A call has failed.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// No registry has answered; why, one by one.
+    /// No process has answered; the reason for each registry.
     #[error("no registry was reached: {}", .0.join("; "))]
     Unreached(Vec<String>),
     /// The runtime did not start.
@@ -63,7 +63,7 @@
 }
 
 impl ExecuteError {
-    /// The exit status.
+    /// Returns the exit status for this error.
     pub fn status(&self) -> ExitStatus {
         match self {
             ExecuteError::Command(CommandError::Settings(_)) | ExecuteError::File { .. } => {
@@ -78,16 +78,16 @@
     }
 }
 
-/// What an invocation prints, and how it ended.
+/// The output and exit status of an invocation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// What is printed.
+    /// The text for standard output.
     pub text: String,
-    /// How it ended.
+    /// The exit status.
     pub status: ExitStatus,
 }
 
-/// Executes the process's own command line.
+/// Entry point: parses and executes the command line of the process.
 pub fn main() -> ExitCode {
     let invocation = match command::parse(std::env::args().skip(1)) {
         Ok(Command::Execute(invocation)) => invocation,
@@ -120,14 +120,14 @@
 }
 
 fn print(text: &str) {
-    // A reader that has closed the pipe has read enough.
+    // A closed pipe is not an error: the reader needs no more output.
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
 /// Executes one invocation.
 ///
 /// # Errors
-/// If there is nothing to report.
+/// If the action fails without a report.
 pub async fn execute(invocation: &Invocation) -> Result<Outcome, ExecuteError> {
     let Invocation { action, targets, as_json } = invocation;
     let as_json = *as_json;
@@ -171,7 +171,7 @@
     Ok(Outcome { text: answer.body + "\n", status: ExitStatus::Done })
 }
 
-/// Checks a call, on top of the current configuration if an address is named.
+/// Validates a call, against the current configuration if a control address is given.
 async fn check(path: &Path, targets: &TargetOptions, as_json: bool) -> Result<Outcome, ExecuteError> {
     let body = read_file(path)?;
     let control = targets.resolve()?.control;
@@ -195,18 +195,18 @@
     Outcome { text: report.render(as_json), status: ExitStatus::Rejected }
 }
 
-/// What is done with a call after it was compared.
+/// What happens to a call after its changes were computed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sending {
-    /// Nothing.
+    /// Only the changes are shown (`config diff`).
     None,
-    /// It would be sent, but for `--dry-run`.
+    /// The call is not sent because of `--dry-run`.
     DryRun,
-    /// It is sent.
+    /// The call is sent.
     Send,
 }
 
-/// Tells what a call would change, and sends it if that is wanted.
+/// Reports what a call would change, and sends it if `sending` says so.
 async fn compare(
     path: &Path,
     targets: &TargetOptions,
@@ -235,7 +235,7 @@
         }
     };
     if status == ExitStatus::Partial {
-        report.missing.push("no address gave a clear answer".into());
+        report.missing.push("no address gave a definite answer".into());
     }
     report.values.extend(answer.map(|text| NamedValue { name: "answer", value: Cell::Text(text) }));
     Ok(Outcome { text: report.render(as_json), status })
@@ -245,7 +245,7 @@
     changes.iter().filter(|change| change.effect.changes_configuration())
 }
 
-/// Sends a call, and tells what was answered.
+/// Sends a call and describes the answer.
 async fn send(control: &[SocketAddrV4], body: &Bytes, items: &[Item]) -> Outcome {
     match control_client::call(control, "config.update", body).await {
         Ok(answer) if answer.status < 300 => {
@@ -257,14 +257,14 @@
             status: ExitStatus::Rejected,
         },
         Err(error) => Outcome {
-            text: format!("{error}. It may be in force or not: apply it again unchanged, which does no harm"),
+            text: format!("{error}. The call may have taken effect: apply it again unchanged, which is safe"),
             status: ExitStatus::Partial,
         },
     }
 }
 
-/// Names the items on which an accepted call had no effect. That an item was removed at a higher revision shows only now, as
-/// no call tells of removed items.
+/// Appends the items on which an accepted call had no effect. That an item was removed at a higher revision is only detected
+/// after the call, because no call returns tombstones.
 async fn describe_effect(accepted: String, control: &[SocketAddrV4], items: &[Item]) -> String {
     let Ok(current) = control_client::read_items(control).await else {
         return format!("{accepted}; the configuration could not be read afterwards");
--- a/crates/pinectl/src/lib.rs
+++ b/crates/pinectl/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operators' client: shows what the gateway's processes know, and checks, compares and sends configuration.
+//! Command-line client for operators: shows the state of the gateway's processes, and checks, compares and applies
+//! configuration.
 //!
-//! - [`command`]: the command line; [`execute`]: executes it;
-//! - [`snapshot`]: queries the processes over the internal ports; [`listings`]: what they answered, as tables;
-//! - [`control_client`]: calls to the control addresses; [`check`]: whether a call is valid; [`diff`]: what it would change;
-//! - [`report`]: tables as text and as JSON; [`completion`]: for shells.
+//! - [`command`]: parses the command line; [`execute`]: executes it;
+//! - [`snapshot`]: queries the processes over the internal ports; [`listings`]: formats the answers as tables;
+//! - [`control_client`]: calls the control addresses; [`check`]: validates a call; [`diff`]: computes its changes;
+//! - [`report`]: renders tables as text and as JSON; [`completion`]: shell completion.
 
 pub mod check;
 pub mod command;
--- a/crates/pinectl/src/listings.rs
+++ b/crates/pinectl/src/listings.rs
@@ -1,4 +1,4 @@
-//! A snapshot and the configuration as tables.
+//! Formats a snapshot and the configuration as tables.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -14,12 +14,12 @@
 use crate::report::{Cell, Report, Table};
 use crate::snapshot::{ProcessAnswer, Snapshot};
 
-/// The name of a kind of configuration items.
+/// The name of a kind of configuration items, as `items` accepts it.
 pub fn kind_name(kind: Kind) -> &'static str {
     KINDS.iter().find(|(_, known)| *known == kind).map_or("other", |(name, _)| *name)
 }
 
-/// The metrics of a program that are listed, without the prefix of its role.
+/// The metrics that are listed for a role, without the role's prefix.
 fn key_metrics(role: Role) -> &'static [&'static str] {
     match role {
         Role::Proxy => &["ready", "servers", "registries", "waiting", "connections", "update_age_seconds"],
@@ -31,13 +31,13 @@
     }
 }
 
-/// The zone that a process reports.
+/// Returns the zone that a process reports in its `info` metric.
 fn zone_of(role: Role, report: &ProcessReport) -> Option<&str> {
     let prefix = format!("{}_info{{zone=\"", role.name());
     report.metrics.iter().find_map(|metric| metric.name.strip_prefix(&prefix)?.strip_suffix("\"}"))
 }
 
-/// The key metrics of a process, or why it has not answered.
+/// Returns the key metrics of a process, or why it has not answered.
 fn metrics_cell(role: Role, answer: &ProcessAnswer) -> Cell {
     match answer {
         Ok(report) => {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The processes.
+/// Lists the processes.
 pub fn nodes(snapshot: &Snapshot) -> Report {
     let mut table = Table::new("nodes", &["role", "node", "address", "zone", "up", "metrics"]);
     let zone = |(process, answer): (&ProcessAddress, &'_ ProcessAnswer)| {
@@ -74,7 +74,7 @@
     Report { tables: vec![table], missing: snapshot.gaps(), ..Report::default() }
 }
 
-/// A row for each proxy that disappeared and is not among those that were queried.
+/// Returns a row for each proxy that disappeared without a planned shutdown and was not queried.
 fn missing_proxy_rows(snapshot: &Snapshot) -> Vec<Vec<Cell>> {
     let proxies = snapshot.answers.keys().filter(|process| process.role == Role::Proxy);
     let listed: Vec<&String> = proxies.filter_map(|process| snapshot.node_names.get(&process.ip)).collect();
@@ -97,7 +97,7 @@
     }
 }
 
-/// How many servers of a service are in each state.
+/// The number of servers of a service in each state.
 #[derive(Default)]
 struct ServiceCounts {
     ready: u64,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The servers: counts by service, then each.
+/// Lists the number of servers by service and state, then each server.
 pub fn servers(snapshot: &Snapshot) -> Report {
     let items = snapshot.items();
     let decoded = items.live(Kind::Server).map(|(id, value)| (id, Server::decode(value)));
@@ -134,7 +134,7 @@
     });
     let mut missing = snapshot.gaps();
     if unreadable > 0 {
-        missing.push(format!("{unreadable} servers can't be read: they are of another version"));
+        missing.push(format!("{unreadable} servers cannot be decoded: they have another format version"));
     }
     Report { tables: vec![services_table(&known), servers_table(&known)], missing, ..Report::default() }
 }
@@ -167,13 +167,13 @@
     table
 }
 
-/// The duties of the registries.
+/// Lists the number of slices for which each registry has the duty.
 pub fn duties(snapshot: &Snapshot) -> Report {
     let mut table = Table::new("duties", &["node", "address", "zone", "majority", "slices"]);
-    let mut held = 0;
+    let mut assigned = 0;
     for (ip, report) in snapshot.reports(Role::Registry) {
         let slices = report.metric("registry_duties").map(|count| count as u64);
-        held += slices.unwrap_or(0);
+        assigned += slices.unwrap_or(0);
         let has_majority = report.metric("registry_majority").map(|value| value > 0.0);
         table.rows.push(vec![
             report.hello.node.as_str().into(),
@@ -184,13 +184,13 @@
         ]);
     }
     let mut missing = snapshot.gaps();
-    if held != SLICE_COUNT as u64 {
-        missing.push(format!("the registries that answered hold {held} of {SLICE_COUNT} slices"));
+    if assigned != SLICE_COUNT as u64 {
+        missing.push(format!("the registries that answered hold {assigned} of {SLICE_COUNT} slices"));
     }
     Report { tables: vec![table], missing, ..Report::default() }
 }
 
-/// The items of the configuration, of one kind or all.
+/// Lists the configuration items of one kind, or of all kinds.
 pub fn items(items: &ItemSet, kind: Option<Kind>) -> Report {
     let mut table = Table::new("items", &["kind", "name", "version"]);
     for item in items.iter().filter(|item| kind.is_none_or(|kind| kind == item.key.kind)) {
--- a/crates/pinectl/src/main.rs
+++ b/crates/pinectl/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the operators' client.
+//! Binary of the operators' client.
 
 fn main() -> std::process::ExitCode {
     pinerelay_pinectl::execute::main()
--- a/crates/pinectl/src/report.rs
+++ b/crates/pinectl/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports as text, in aligned columns, and as JSON.
+//! Renders reports as text, in aligned columns, and as JSON.
 
 use serde::ser::{SerializeMap, SerializeSeq};
 use serde::{Serialize, Serializer};
@@ -6,16 +6,16 @@
 #[cfg(test)]
 mod tests;
 
-/// A value of a table.
+/// A value in a table.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Cell {
-    /// It is not known.
+    /// The value is unknown.
     None,
-    /// A text.
+    /// Text.
     Text(String),
     /// An integer.
     Integer(u64),
-    /// Yes or no.
+    /// A boolean, shown as yes or no.
     Flag(bool),
     /// Metrics by name.
     Metrics(Vec<(String, f64)>),
@@ -37,7 +37,7 @@
     fn to_text(&self) -> String {
         match self {
             Cell::None => "-".into(),
-            // Names that others chose must not control the terminal.
+            // The text may come from other processes and must not control the terminal.
             Cell::Text(text) => without_control_characters(text),
             Cell::Integer(number) => number.to_string(),
             Cell::Flag(flag) => if *flag { "yes" } else { "no" }.into(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// A text without control characters.
+/// Replaces control characters with `?`.
 pub fn without_control_characters(text: &str) -> String {
     text.chars().map(|character| if character.is_control() { '?' } else { character }).collect()
 }
@@ -70,24 +70,24 @@
     }
 }
 
-/// A table.
+/// A named table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Table {
-    /// Its name.
+    /// The key of the table in JSON.
     pub name: &'static str,
-    /// The names of its columns.
+    /// The column names.
     pub columns: Vec<&'static str>,
-    /// Its rows, each with one value a column.
+    /// The rows, each with one value per column.
     pub rows: Vec<Vec<Cell>>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(name: &'static str, columns: &[&'static str]) -> Table {
         Table { name, columns: columns.to_vec(), rows: Vec::new() }
     }
 
-    /// As text in aligned columns.
+    /// Renders the table as text with a header line and aligned columns.
     pub fn to_text(&self) -> String {
         let head = self.columns.iter().map(|name| name.to_uppercase()).collect();
         let rows = self.rows.iter().map(|row| row.iter().map(Cell::to_text).collect());
@@ -106,6 +106,7 @@
     }
 }
 
+/// A row, serialized as a map from column name to value.
 struct Row<'a>(&'a [&'static str], &'a [Cell]);
 
 impl Serialize for Row<'_> {
@@ -114,6 +115,7 @@
     }
 }
 
+/// The rows of a table, serialized as a list.
 struct Rows<'a>(&'a Table);
 
 impl Serialize for Rows<'_> {
@@ -126,23 +128,23 @@
     }
 }
 
-/// A value with its name.
+/// A single value of a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NamedValue {
-    /// Its name.
+    /// The key of the value in JSON.
     pub name: &'static str,
     /// The value.
     pub value: Cell,
 }
 
-/// What an action found.
+/// The result of an action.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    /// Its tables.
+    /// The tables.
     pub tables: Vec<Table>,
-    /// Single values.
+    /// Single values, shown after the tables.
     pub values: Vec<NamedValue>,
-    /// Why it is not complete, one reason each.
+    /// Reasons why the report is incomplete; empty if it is complete.
     pub missing: Vec<String>,
 }
 
@@ -162,7 +164,7 @@
 }
 
 impl Report {
-    /// As it is printed.
+    /// Renders the report as JSON or as text.
     pub fn render(&self, as_json: bool) -> String {
         if as_json {
             return sonic_rs::to_string(self).unwrap_or_default() + "\n";
--- a/crates/pinectl/src/report/tests.rs
+++ b/crates/pinectl/src/report/tests.rs
@@ -1,4 +1,4 @@
-//! Tables as text and as JSON.
+//! Tests that reports are rendered as aligned text and as JSON, without control characters in text.
 
 use googletest::prelude::*;
 
--- a/crates/pinectl/src/snapshot.rs
+++ b/crates/pinectl/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What all processes answer at one time: the registries first, then the processes that they name.
+//! Queries the metrics and state of the processes: the registries first, then the processes that they list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -14,13 +14,13 @@
 
 use crate::command::InternalEndpoints;
 
-/// The client's name in its greeting to processes.
+/// The node name that the client sends in its hello message.
 const OBSERVER_NAME: &str = "pinectl";
-/// A process that has not answered within this time counts as not reached.
+/// A process that has not answered within this time counts as unreachable.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The most processes that are queried.
+/// The maximum number of processes that are queried.
 const MAX_PROCESSES: usize = 2_000;
-/// The most bytes of an answer.
+/// The maximum length of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 32 << 20;
 
 /// Why there is no answer of a process.
@@ -29,18 +29,18 @@
     /// The query has failed.
     #[error(transparent)]
     Query(#[from] QueryError),
-    /// Another program has answered.
-    #[error("a {0:?} is there")]
+    /// A process of another role has answered.
+    #[error("another process answered, with the role {0:?}")]
     OtherRole(Role),
 }
 
 /// The answer of a process, or why there is none.
 pub type ProcessAnswer = Result<ProcessReport, ProcessError>;
 
-/// Which processes are queried.
+/// The processes to query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// The registries, with the servers that they know.
+    /// The registries, including the servers that they know.
     Servers,
     /// The registries.
     Registries,
@@ -48,26 +48,26 @@
     All,
 }
 
-/// What all processes have answered.
+/// The answers of the queried processes.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// The answers.
+    /// The answer of each process.
     pub answers: BTreeMap<ProcessAddress, ProcessAnswer>,
-    /// The names of machines, as any process told them.
+    /// The node names of machines, as processes reported them.
     pub node_names: BTreeMap<Ipv4Addr, String>,
     /// Proxies that disappeared without a planned shutdown, by name.
     pub missing_proxies: BTreeSet<String>,
 }
 
-/// Queries processes, beginning with the registries at these endpoints.
+/// Queries the processes in `scope`, starting with the registries at `endpoints`.
 pub async fn take_snapshot(endpoints: &InternalEndpoints, scope: Scope) -> Snapshot {
     let mut snapshot = Snapshot::default();
     let seeds = endpoints.machines.iter().map(|ip| ProcessAddress::new(Role::Registry, *ip));
-    let mut due: BTreeSet<ProcessAddress> = seeds.collect();
-    while !due.is_empty() && snapshot.answers.len() < MAX_PROCESSES {
-        let left = MAX_PROCESSES - snapshot.answers.len();
+    let mut pending: BTreeSet<ProcessAddress> = seeds.collect();
+    while !pending.is_empty() && snapshot.answers.len() < MAX_PROCESSES {
+        let remaining = MAX_PROCESSES - snapshot.answers.len();
         let mut queries = JoinSet::new();
-        for process in due.into_iter().take(left) {
+        for process in pending.into_iter().take(remaining) {
             queries.spawn(query_process(process, endpoints.first_port, scope));
         }
         while let Some(finished) = queries.join_next().await {
@@ -75,7 +75,7 @@
                 snapshot.add(process, answer);
             }
         }
-        due = snapshot.unqueried(scope);
+        pending = snapshot.unqueried(scope);
     }
     snapshot
 }
@@ -88,8 +88,8 @@
     let process_id = u64::from(std::process::id());
     let hello = Hello { node: OBSERVER_NAME.into(), ip: String::new(), role: Role::Observer, process_id };
     let with_servers = scope == Scope::Servers;
-    let question = Query { role: process.role, with_servers, max_bytes: MAX_ANSWER_BYTES };
-    let answer = query(process.socket_address(first_port), &hello, question);
+    let request = Query { role: process.role, with_servers, max_bytes: MAX_ANSWER_BYTES };
+    let answer = query(process.socket_address(first_port), &hello, request);
     let answer = timeout(QUERY_TIMEOUT, answer).await.unwrap_or(Err(QueryError::TimedOut));
     let answer = answer.map_err(ProcessError::from).and_then(|report| check_role(process.role, report));
     (process, answer)
@@ -120,27 +120,27 @@
         self.answers.insert(process, answer);
     }
 
-    /// The processes that registries have named and that were not queried yet.
+    /// Returns the processes in `scope` that registries list and that were not queried yet.
     fn unqueried(&self, scope: Scope) -> BTreeSet<ProcessAddress> {
         let reports = self.reports(Role::Registry);
         let lists = reports.filter_map(|(_, report)| report.process_list.as_ref());
         let expected = lists.flat_map(ProcessList::expected_processes);
-        let mut named: BTreeSet<ProcessAddress> = expected.map(|process| process.address).collect();
-        named.retain(|process| match process.role {
+        let mut listed: BTreeSet<ProcessAddress> = expected.map(|process| process.address).collect();
+        listed.retain(|process| match process.role {
             Role::Observer => false,
             Role::Registry => !self.answers.contains_key(process),
             Role::Proxy | Role::ConfigStore => scope == Scope::All && !self.answers.contains_key(process),
         });
-        named
+        listed
     }
 
-    /// The processes of a role that have answered.
+    /// Returns the reports of the processes with a role that have answered.
     pub fn reports(&self, role: Role) -> impl Iterator<Item = (Ipv4Addr, &ProcessReport)> {
         let answers = self.answers.iter().filter(move |(process, _)| process.role == role);
         answers.filter_map(|(process, answer)| Some((process.ip, answer.as_ref().ok()?)))
     }
 
-    /// The newest of the items that registries have sent.
+    /// Merges the items that the registries have sent; the newest version of each item wins.
     pub fn items(&self) -> ItemSet {
         let mut items = ItemSet::default();
         for (_, report) in self.reports(Role::Registry) {
@@ -149,7 +149,7 @@
         items
     }
 
-    /// Why what the registries have answered may not be complete, one reason each.
+    /// Returns the reasons why the registries' answers may be incomplete.
     pub fn gaps(&self) -> Vec<String> {
         let registries = self.answers.iter().filter(|(process, _)| process.role == Role::Registry);
         let mut gaps: Vec<String> = registries
@@ -159,7 +159,7 @@
             })
             .collect();
         if self.answers.len() >= MAX_PROCESSES {
-            gaps.push(format!("no more than {MAX_PROCESSES} processes are queried"));
+            gaps.push(format!("the limit of {MAX_PROCESSES} queried processes is reached"));
         }
         gaps
     }
@@ -167,8 +167,8 @@
 
 fn registry_gaps(ip: Ipv4Addr, report: &ProcessReport) -> Vec<String> {
     let conditions = [
-        ("registry_majority", "reaches no majority of the core"),
-        ("registry_complete", "has not the complete configuration"),
+        ("registry_majority", "does not reach a majority of the core"),
+        ("registry_complete", "does not have the complete configuration"),
     ];
     conditions
         .into_iter()
