--- a/crates/exporter/src/alerts.rs
+++ b/crates/exporter/src/alerts.rs
@@ -1,7 +1,7 @@
-//! Which alerts are raised by the rules: observations go in with the clock, and changes come out.
+//! Evaluates the alert rules: takes observations with their time and returns the alerts that change. Has no clock of its own.
 //!
-//! Each process has a hysteresis of its own: past `raise` it is in trouble until it is back over `clear`. Hold and calm times are the
-//! group's, so one group never raises an alert twice within the hold time, however its processes take turns.
+//! Each process has its own hysteresis: beyond `raise` it is triggered until it is no longer beyond `clear`. Hold and calm times
+//! apply to the group, so a group never raises an alert twice within the hold time, even if its processes trigger in turn.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,67 +12,67 @@
 use crate::rules::{Comparison, Grouping, Reading, Rule, Severity};
 use crate::Micros;
 
-/// After a longer gap between two polls, in microseconds, the time between them counts for no hold or calm time.
+/// The longest gap between two polls, in microseconds, that counts towards hold and calm times; they restart after a longer one.
 const MAX_POLL_GAP: Micros = 7_000_000;
-/// The metric that the exporter itself counts, which goes on where a process restarts.
+/// A counter that the exporter itself keeps, so a process restart does not reset it.
 const STARTS_METRIC: &str = "starts_total";
 
 /// An alert was raised or cleared.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AlertChange {
-    /// The name of its rule.
+    /// The name of the rule.
     pub rule: String,
-    /// Its group.
+    /// The group of processes that shares the alert.
     pub group: String,
     /// Whether it was raised; otherwise it was cleared.
     pub is_raised: bool,
-    /// How urgent it is.
+    /// The urgency of the alert.
     pub severity: Severity,
-    /// The heading of the operators' page on it.
+    /// The anchor of the alert in the operators' documentation.
     pub page: String,
-    /// The processes that are in trouble.
+    /// The triggered processes; empty if the alert was cleared.
     pub processes: Vec<String>,
 }
 
 /// An alert, raised or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AlertStatus<'a> {
-    /// The name of its rule.
+    /// The name of the rule.
     pub rule: &'a str,
-    /// Its group.
+    /// The group of processes that shares the alert.
     pub group: &'a str,
-    /// Whether it is raised.
+    /// Whether the alert is raised.
     pub is_raised: bool,
 }
 
-/// A process, as rules know it.
+/// The key of a process in the state of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ProcessName {
     role: Role,
     node: String,
 }
 
-/// A value and when it was observed.
+/// A value with the time of its observation.
 struct TimedValue {
     at: Micros,
     value: f64,
 }
 
-/// What a rule knows of one process.
+/// The state of a rule for one process.
 #[derive(Default)]
 struct ProcessState {
     process_id: u64,
     group: String,
     /// The values within the rule's window, and the last one before it.
     window: VecDeque<TimedValue>,
-    /// Whether the reading has passed the threshold to raise, and not been back over the one to clear since.
-    is_in_trouble: bool,
+    /// Whether the reading went beyond `raise` and has stayed beyond `clear` since.
+    is_triggered: bool,
 }
 
 #[derive(Default)]
 struct AlertState {
     is_raised: bool,
-    /// Since when the group's processes say otherwise.
+    /// Since when the triggered processes of the group contradict `is_raised`.
     differs_since: Option<Micros>,
 }
 
@@ -80,23 +80,23 @@
 struct ActiveRule {
     rule: Rule,
     processes: BTreeMap<ProcessName, ProcessState>,
-    /// By group.
+    /// The alerts by group.
     alerts: BTreeMap<String, AlertState>,
 }
 
-/// All alerts.
+/// The alert rules with their state.
 pub struct Alerts {
     rules: Vec<ActiveRule>,
     last_poll: Option<Micros>,
 }
 
 impl Alerts {
-    /// Alerts by these rules, none of which is raised yet.
+    /// Creates the state for these rules, with no alert raised.
     pub fn new(rules: Vec<Rule>) -> Alerts {
         Alerts { rules: rules.into_iter().map(ActiveRule::new).collect(), last_poll: None }
     }
 
-    /// Each alert.
+    /// Returns the status of each alert.
     pub fn statuses(&self) -> impl Iterator<Item = AlertStatus<'_>> {
         self.rules.iter().flat_map(|active| {
             active.alerts.iter().map(|(group, alert)| AlertStatus {
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Takes what was observed at one poll.
+    /// Applies the rules to the observations of one poll and returns the alerts that were raised or cleared.
     pub fn observe(&mut self, now: Micros, observations: &[Observation]) -> Vec<AlertChange> {
         let has_stalled = self.last_poll.is_some_and(|last| now > last + MAX_POLL_GAP);
         self.last_poll = Some(now);
@@ -139,7 +139,7 @@
         ActiveRule { rule, processes: BTreeMap::new(), alerts: BTreeMap::new() }
     }
 
-    /// Updates the state of all processes, and forgets those that were not observed.
+    /// Updates the state of the observed processes, and removes those that were not observed.
     fn observe(&mut self, now: Micros, observations: &[Observation]) {
         let mut observed = BTreeSet::new();
         for observation in observations {
@@ -154,8 +154,8 @@
             let alert = self.alerts.entry(process.group.clone()).or_default();
             match value {
                 Some(value) => process.observe(now, &self.rule, observation.process_id, value),
-                // What is not known raises nothing, and clears nothing.
-                None => process.is_in_trouble &= alert.is_raised,
+                // An unknown value neither raises nor clears an alert.
+                None => process.is_triggered &= alert.is_raised,
             }
         }
         self.processes.retain(|name, _| observed.contains(name));
@@ -165,21 +165,21 @@
         self.alerts.values_mut().for_each(|alert| alert.differs_since = None);
     }
 
-    /// The processes that are in trouble, by group.
-    fn troubled(&self) -> BTreeMap<String, Vec<String>> {
-        let mut troubled: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        for (name, process) in self.processes.iter().filter(|(_, process)| process.is_in_trouble) {
+    /// Returns the triggered processes by group.
+    fn triggered(&self) -> BTreeMap<String, Vec<String>> {
+        let mut triggered: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        for (name, process) in self.processes.iter().filter(|(_, process)| process.is_triggered) {
             let text = format!("{} {}", name.role.name(), name.node);
-            troubled.entry(process.group.clone()).or_default().push(text);
+            triggered.entry(process.group.clone()).or_default().push(text);
         }
-        troubled
+        triggered
     }
 
-    /// Raises and clears alerts whose hold or calm time is over.
+    /// Raises and clears the alerts whose hold or calm time has elapsed.
     fn update_alerts(&mut self, now: Micros, changes: &mut Vec<AlertChange>) {
-        let mut troubled = self.troubled();
+        let mut triggered = self.triggered();
         for (group, alert) in &mut self.alerts {
-            let processes = troubled.remove(group);
+            let processes = triggered.remove(group);
             if alert.update(now, &self.rule, processes.is_some()) {
                 changes.push(AlertChange {
                     rule: self.rule.name.clone(),
@@ -200,9 +200,9 @@
 }
 
 impl AlertState {
-    /// Returns whether the alert was raised or cleared.
-    fn update(&mut self, now: Micros, rule: &Rule, has_trouble: bool) -> bool {
-        if has_trouble == self.is_raised {
+    /// Updates the alert, and returns whether it was raised or cleared.
+    fn update(&mut self, now: Micros, rule: &Rule, has_triggered_process: bool) -> bool {
+        if has_triggered_process == self.is_raised {
             self.differs_since = None;
             return false;
         }
@@ -227,22 +227,22 @@
             }
         };
         self.process_id = process_id;
-        let threshold = if self.is_in_trouble { rule.clear } else { rule.raise };
-        self.is_in_trouble = match rule.comparison {
+        let threshold = if self.is_triggered { rule.clear } else { rule.raise };
+        self.is_triggered = match rule.comparison {
             Comparison::Above => reading > threshold,
             Comparison::Below => reading < threshold,
         };
     }
 
-    /// By how much a counter has grown within a window, for each second of the whole window, even if less of it has been observed:
-    /// a first poll must raise nothing.
+    /// Returns the increase of a counter within a window, divided by the length of the full window even if less of it has been
+    /// observed: the first poll must not raise an alert.
     fn rate(&mut self, now: Micros, window: Duration, value: f64, is_restarted: bool) -> f64 {
         let has_fallen = self.window.back().is_some_and(|last| value < last.value);
         if has_fallen || is_restarted {
             self.window.clear();
         }
         self.window.push_back(TimedValue { at: now, value });
-        // The value at the begin of the window, or the last one before it, stays.
+        // Keeps the value at the start of the window, or the last one before it.
         while self.window.get(1).is_some_and(|second| second.at + to_micros(window) <= now) {
             self.window.pop_front();
         }
--- a/crates/exporter/src/command.rs
+++ b/crates/exporter/src/command.rs
@@ -1,4 +1,4 @@
-//! The exporter's command line.
+//! Command line of the exporter.
 
 use std::fmt::Display;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -18,41 +18,41 @@
 #[cfg(test)]
 mod tests;
 
-/// The exit code if a file cannot be used, or the exporter failed.
+/// Exit code for an invalid file or a failure while running.
 const EXIT_FAILURE: u8 = 1;
-/// The exit code if the command line cannot be parsed.
+/// Exit code for a command line that cannot be parsed.
 const EXIT_USAGE: u8 = 2;
 
-/// What the exporter is called for.
+/// What the command line asks the exporter to do.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Run.
+    /// Run with these options.
     Run(RunOptions),
-    /// Check this file of alert rules and end.
+    /// Check this alert rules file and exit.
     CheckRules(PathBuf),
-    /// Print this text and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// How the exporter is to run.
+/// The options of a run.
 #[derive(Debug, PartialEq)]
 pub struct RunOptions {
-    /// Where the metrics are served.
+    /// The address at which the metrics are served.
     pub listen: SocketAddr,
-    /// The registries that are queried first.
+    /// The source of the registries that are queried first.
     pub registries: RegistrySource,
-    /// The file of alert rules.
+    /// The alert rules file.
     pub rules: Option<PathBuf>,
-    /// What is logged.
+    /// The log level.
     pub level: Level,
 }
 
-/// Where the first registries are named.
+/// Where the addresses of the first registries come from.
 #[derive(Debug, PartialEq)]
 pub enum RegistrySource {
-    /// By the seeds of a settings file.
+    /// The seed nodes of a settings file.
     Settings(PathBuf),
-    /// By their addresses.
+    /// Internal addresses from the command line, all with the same port.
     Addresses(Vec<SocketAddrV4>),
 }
 
@@ -67,26 +67,26 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("", "listen", "where the metrics are served, at /metrics", "ADDRESS");
-    options.optopt("s", "settings", "a settings file, whose seeds are asked for all others", "FILE");
-    options.optmulti("", "at", "a registry's internal address, in place of a settings file", "ADDRESS");
-    options.optopt("r", "rules", "the alert rules; without them, metrics are asked for when read", "FILE");
-    options.optopt("c", "check", "check a file of alert rules and end: 0 if it can be used, else 1", "FILE");
-    options.optopt("l", "log", "what is logged: error, warn, info (default) or debug", "LEVEL");
-    options.optflag("V", "version", "print the version and end");
-    options.optflag("h", "help", "print this and end");
+    options.optopt("", "listen", "the address at which /metrics is served", "ADDRESS");
+    options.optopt("s", "settings", "settings file; its seed nodes are queried for all processes", "FILE");
+    options.optmulti("", "at", "internal address of a registry, instead of a settings file", "ADDRESS");
+    options.optopt("r", "rules", "alert rules file; without it, processes are polled on scrape", "FILE");
+    options.optopt("c", "check", "check an alert rules file and exit: 0 if it is valid, else 1", "FILE");
+    options.optopt("l", "log", "the log level: error, warn, info (default) or debug", "LEVEL");
+    options.optflag("V", "version", "print the version and exit");
+    options.optflag("h", "help", "print this help and exit");
     options
 }
 
-/// Parses a command line without the program's name.
+/// Parses the command line, without the program's name.
 ///
 /// # Errors
-/// If an option is unknown, missing, or has a value that cannot be used.
+/// If an option is unknown, missing or invalid, or if there is a positional argument.
 pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Command, CommandError> {
     let options = options();
     let matches = options.parse(arguments)?;
     if matches.opt_present("h") {
-        let brief = "exporter: serves the metrics of all processes, and raises alerts by rules\n\
+        let brief = "exporter: serves the metrics of all processes and evaluates alert rules\n\
                      usage: exporter --listen ADDRESS (--settings FILE | --at ADDRESS...) [OPTIONS]";
         return Ok(Command::Print(options.usage(brief)));
     }
@@ -107,7 +107,7 @@
 }
 
 fn parse_listen(matches: &Matches) -> Result<SocketAddr, CommandError> {
-    let text = matches.opt_str("listen").ok_or(CommandError::Missing("--listen ADDRESS is wanted"))?;
+    let text = matches.opt_str("listen").ok_or(CommandError::Missing("--listen ADDRESS is required"))?;
     let invalid = |_| CommandError::InvalidValue("listen", "an address and port", text.clone());
     text.parse().map_err(invalid)
 }
@@ -123,7 +123,7 @@
     match (matches.opt_str("s"), addresses.is_empty()) {
         (Some(path), true) => Ok(RegistrySource::Settings(path.into())),
         (None, false) => Ok(RegistrySource::Addresses(addresses)),
-        _ => Err(CommandError::Missing("one of --settings FILE and --at ADDRESS is wanted")),
+        _ => Err(CommandError::Missing("one of --settings FILE and --at ADDRESS is required")),
     }
 }
 
@@ -173,8 +173,8 @@
     }
 }
 
-/// Executes the process's own command line. Exit codes: 0 for a planned end or a file that can be used, 1 for a file that cannot
-/// be used or an address that is taken, 2 for a command line that cannot be parsed.
+/// Entry point: parses and executes the command line of the process. Exit codes: 0 for a planned shutdown or a valid file, 1 for
+/// an invalid file or a failure such as an address in use, 2 for a command line that cannot be parsed.
 pub fn execute() -> ExitCode {
     match parse(std::env::args().skip(1)) {
         Ok(Command::Run(options)) => exit_code(run(options), EXIT_FAILURE),
--- a/crates/exporter/src/command/tests.rs
+++ b/crates/exporter/src/command/tests.rs
@@ -1,4 +1,4 @@
-//! Command lines that are accepted, and what is reported of those that are not.
+//! Tests of the command-line parser and its error messages.
 
 use googletest::prelude::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn a_line_names_where_to_listen_and_which_registries_to_query() {
+fn parses_run_and_check_options_and_reports_invalid_arguments() {
     let run = |registries, rules: Option<&str>| {
         Command::Run(RunOptions {
             listen: "127.0.0.1:9".parse().expect("an address"),
--- a/crates/exporter/src/exporter.rs
+++ b/crates/exporter/src/exporter.rs
@@ -1,4 +1,4 @@
-//! Queries all processes, and tells what they reported.
+//! Polls all processes, and renders their metrics on a scrape.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -17,30 +17,30 @@
 use crate::rules::{Rule, Severity};
 use crate::Micros;
 
-/// The exporter's name in its greeting to processes.
+/// The node name that the exporter sends in its hello message.
 const OBSERVER_NAME: &str = "exporter";
 /// A process that has not answered within this time counts as down.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most bytes of an answer. A registry sends more than it was asked for, but no process so much.
+/// The maximum length of an answer, in bytes. A registry sends more than was requested, but no process sends this much.
 const MAX_ANSWER_BYTES: u64 = 4 << 20;
 /// The time between two polls.
 const POLL_EVERY: Duration = Duration::from_micros(POLL_INTERVAL);
 
-/// The exporter.
+/// Polls processes and evaluates the alert rules.
 pub struct Exporter {
     hello: Hello,
-    /// The first of the internal ports.
+    /// The first internal port, which is the same on all machines.
     first_port: u16,
     started: Instant,
     processes: RefCell<ProcessTable>,
     alerts: RefCell<Alerts>,
     metrics: Cell<ExporterMetrics>,
-    /// When the last poll began. Locked while one is under way.
+    /// When the last poll began. Locked during a poll.
     last_poll: Mutex<Option<Instant>>,
 }
 
 impl Exporter {
-    /// An exporter that queries these registries first.
+    /// Creates an exporter that queries the registries at `seeds` first.
     pub fn new(seeds: Vec<Ipv4Addr>, first_port: u16, rules: Vec<Rule>) -> Exporter {
         let hello = Hello {
             node: OBSERVER_NAME.into(),
@@ -59,10 +59,10 @@
         }
     }
 
-    /// The metrics as text, polled anew if the last poll is old enough.
+    /// Returns the metrics as text. Polls first unless the last poll began less than [`POLL_INTERVAL`] ago.
     ///
     /// # Errors
-    /// If the library that writes the text fails.
+    /// If the Prometheus library fails to encode the text.
     pub async fn scrape(&self) -> Result<String, std::fmt::Error> {
         self.poll().await;
         let poll_age = self.last_poll.lock().await.map_or(0.0, |began| began.elapsed().as_secs_f64());
@@ -70,17 +70,18 @@
         exposition::write(&self.processes.borrow(), &self.alerts.borrow(), metrics)
     }
 
-    /// Polls again and again. Never returns; dropped, it stops between two answers.
+    /// Polls periodically. Never returns; the future can be dropped, which stops it between two answers.
     pub async fn poll_forever(&self) {
         loop {
             self.poll().await;
-            // A scrape may have polled since.
+            // A scrape may have polled in the meantime.
             let began = self.last_poll.lock().await.unwrap_or_else(Instant::now);
             sleep_until(began + POLL_EVERY).await;
         }
     }
 
-    /// Queries all processes that may be queried, all at once, and applies the rules to what they answered.
+    /// Queries all processes that are due, concurrently, and applies the rules to the answers. Does nothing if the last poll began
+    /// less than [`POLL_INTERVAL`] ago.
     async fn poll(&self) {
         let mut last_poll = self.last_poll.lock().await;
         if last_poll.is_some_and(|began| began.elapsed() < POLL_EVERY) {
@@ -88,10 +89,10 @@
         }
         let began = Instant::now();
         *last_poll = Some(began);
-        // One time for all of the poll, so that the next comes no sooner than it may.
+        // The whole poll uses a single time, so that all of its processes are due again at the next poll.
         let now = began.duration_since(self.started).as_micros() as Micros;
         loop {
-            // What registries tell of now is queried in the same poll.
+            // Processes that registries list in this poll are queried in the same poll.
             let due = self.processes.borrow_mut().take_due(now);
             if due.is_empty() {
                 break;
@@ -111,9 +112,9 @@
         let mut queries = JoinSet::new();
         for process in due {
             let (address, hello) = (process.socket_address(self.first_port), self.hello.clone());
-            let question = Query { role: process.role, with_servers: false, max_bytes: MAX_ANSWER_BYTES };
+            let request = Query { role: process.role, with_servers: false, max_bytes: MAX_ANSWER_BYTES };
             queries.spawn_local(async move {
-                let answer = timeout(QUERY_TIMEOUT, query(address, &hello, question)).await;
+                let answer = timeout(QUERY_TIMEOUT, query(address, &hello, request)).await;
                 (process, answer.unwrap_or(Err(QueryError::Unanswered)))
             });
         }
--- a/crates/exporter/src/exposition.rs
+++ b/crates/exporter/src/exposition.rs
@@ -1,4 +1,4 @@
-//! The metrics of all processes as Prometheus text.
+//! Renders the metrics of all processes, the alerts and the exporter itself as Prometheus text.
 
 use std::collections::BTreeMap;
 use std::fmt::Error;
@@ -16,7 +16,7 @@
 
 /// The content type of the text.
 pub const CONTENT_TYPE: &str = prometheus_text::CONTENT_TYPE;
-/// Comes before the name of each metric.
+/// The prefix of all metric names.
 const PREFIX: &str = "pinerelay_";
 
 /// Metrics of the exporter itself.
@@ -26,9 +26,9 @@
     pub polls: u64,
     /// Queries to processes.
     pub queries: u64,
-    /// Of these, the unanswered ones.
+    /// Queries that were not answered.
     pub unanswered: u64,
-    /// Bytes read and written for them.
+    /// Bytes read and written for answered queries.
     pub bytes: u64,
     /// The time since the last poll began, in seconds.
     pub poll_age: f64,
@@ -71,7 +71,7 @@
 impl Family {
     fn encode(&self, encoder: &mut DescriptorEncoder) -> Result<(), Error> {
         let name = format!("{PREFIX}{}", self.name);
-        // The library itself appends the ending of a counter's name.
+        // The library appends the suffix `_total` to the name of a counter.
         let (name, metric_type) = match name.strip_suffix("_total") {
             Some(name) => (name, MetricType::Counter),
             None => (name.as_str(), MetricType::Gauge),
@@ -93,7 +93,7 @@
     metric.encode(encoder)
 }
 
-/// The metrics of processes, in the order of [`KNOWN_METRICS`].
+/// Returns the metrics of processes, in the order of [`KNOWN_METRICS`].
 fn process_families(processes: &ProcessTable) -> Vec<Family> {
     let mut samples: BTreeMap<&'static str, Vec<Sample>> = BTreeMap::new();
     for (role, node, process) in processes.named() {
@@ -135,7 +135,7 @@
         ("exporter_query_bytes_total", "Bytes read and written for queries", own.bytes as f64),
         ("exporter_poll_age_seconds", "Time since the last poll began", own.poll_age),
         ("exporter_poll_duration_seconds", "Duration of the last poll", own.poll_duration),
-        ("exporter_unnamed_processes", "Addresses whose process has never told its name", unnamed),
+        ("exporter_unnamed_processes", "Processes whose node name is not known", unnamed),
         ("exporter_unknown_metrics_total", "Metrics received that the exporter does not know", unknown),
     ];
     let families = metrics.into_iter().map(|(name, help, value)| {
@@ -145,10 +145,10 @@
     families.collect()
 }
 
-/// Writes all metrics.
+/// Renders all metrics.
 ///
 /// # Errors
-/// If the library that writes the text fails.
+/// If the Prometheus library fails to encode the text.
 pub fn write(processes: &ProcessTable, alerts: &Alerts, own: ExporterMetrics) -> Result<String, Error> {
     let mut families = process_families(processes);
     families.push(alert_family(alerts));
--- a/crates/exporter/src/http.rs
+++ b/crates/exporter/src/http.rs
@@ -27,20 +27,20 @@
 
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// The most connections that are served at once.
+/// The maximum number of concurrent connections; further ones are closed.
 const MAX_CONNECTIONS: usize = 32;
-/// How long a connection may last.
+/// The maximum duration of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Where the exporter listens, and what it is to do.
+/// Configuration of the exporter.
 pub struct ExporterConfig {
-    /// Where the metrics are served.
+    /// The address at which the metrics are served.
     pub listen: SocketAddr,
     /// The registries that are queried first.
     pub seeds: Vec<Ipv4Addr>,
-    /// The first of the internal ports.
+    /// The first internal port, which is the same on all machines.
     pub first_port: u16,
     /// The alert rules. With none, processes are queried only when the metrics are read.
     pub rules: Vec<Rule>,
@@ -59,7 +59,7 @@
 async fn serve(config: ExporterConfig) -> Result<(), Box<dyn Error>> {
     let ExporterConfig { listen, seeds, first_port, rules } = config;
     let listener = TcpListener::bind(listen).await?;
-    log::info!("serves metrics at {listen}, with {} alert rules", rules.len());
+    log::info!("serving metrics at {listen} with {} alert rules", rules.len());
     let has_rules = !rules.is_empty();
     let exporter = Rc::new(Exporter::new(seeds, first_port, rules));
     tokio::task::spawn_local(accept(listener, exporter.clone()));
@@ -67,7 +67,7 @@
         tokio::task::spawn_local(async move { exporter.poll_forever().await });
     }
     signal(SignalKind::terminate())?.recv().await;
-    log::info!("ends as planned");
+    log::info!("shutting down on SIGTERM");
     Ok(())
 }
 
@@ -81,7 +81,7 @@
         let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
         let exporter = exporter.clone();
         tokio::task::spawn_local(async move {
-            // A client that is slow or disconnects asks again.
+            // Slow and disconnected clients are expected to scrape again.
             let _ = timeout(CONNECTION_TIMEOUT, serve_connection(stream, exporter)).await;
             drop(permit);
         });
@@ -109,7 +109,7 @@
             *response.body_mut() = Full::new(text.into());
         }
         Err(error) => {
-            log::error!("the metrics cannot be written: {error}");
+            log::error!("the metrics cannot be encoded: {error}");
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
     }
--- a/crates/exporter/src/lib.rs
+++ b/crates/exporter/src/lib.rs
@@ -1,10 +1,11 @@
-//! The exporter: reads the metrics of all processes over the internal ports, serves them as Prometheus text, and raises alerts by
-//! rules.
+//! Metrics exporter: polls the metrics of all processes over the internal ports, serves them as Prometheus text, and evaluates
+//! alert rules.
 //!
-//! - [`process_table`]: which processes there are, when each may be queried, and what it answered last;
-//! - [`metric_names`]: the metrics that are known, and how a process writes their names;
-//! - [`rules`]: the file of alert rules; [`alerts`]: which alerts are raised by them;
-//! - [`exposition`]: all of it as text; [`exporter`]: queries the processes; [`http`]: serves the text;
+//! - [`process_table`]: the known processes, when each may be queried, and its last answer;
+//! - [`metric_names`]: the known metrics, and the parser of their names;
+//! - [`rules`]: the alert rules file; [`alerts`]: evaluates the rules;
+//! - [`observation`]: the input of the rules; [`exporter`]: polls the processes;
+//! - [`exposition`]: renders all metrics as text; [`http`]: serves the text;
 //! - [`command`]: the command line.
 
 pub mod alerts;
@@ -17,5 +18,5 @@
 pub mod process_table;
 pub mod rules;
 
-/// Microseconds of the exporter's clock.
+/// A time in microseconds since the exporter started.
 pub type Micros = u64;
--- a/crates/exporter/src/main.rs
+++ b/crates/exporter/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the exporter.
+//! Binary of the metrics exporter.
 
 fn main() -> std::process::ExitCode {
     pinerelay_exporter::command::execute()
--- a/crates/exporter/src/metric_names.rs
+++ b/crates/exporter/src/metric_names.rs
@@ -1,4 +1,4 @@
-//! The metrics that are known, and how a process writes their names.
+//! The known metrics, and the parser of the names that processes report.
 
 #[cfg(test)]
 mod tests;
@@ -6,15 +6,15 @@
 /// A metric that the exporter serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownMetric {
-    /// Its name, without the prefix that all have.
+    /// The name without the prefix `pinerelay_`.
     pub name: &'static str,
-    /// What it tells.
+    /// The help text.
     pub help: &'static str,
 }
 
-/// All metrics of processes. A name that ends in `_total` is that of a counter, all others are gauges.
+/// All metrics of processes. Names that end in `_total` are counters, all others are gauges.
 pub const KNOWN_METRICS: &[KnownMetric] = &[
-    KnownMetric { name: "up", help: "The process has answered when it was last asked" },
+    KnownMetric { name: "up", help: "The process answered the last query" },
     KnownMetric { name: "starts_total", help: "Starts of the process seen by the exporter" },
     KnownMetric { name: "proxy_info", help: "The proxy's zone" },
     KnownMetric { name: "proxy_ready", help: "The proxy is ready for clients" },
@@ -37,11 +37,11 @@
     KnownMetric { name: "proxy_unserved_total", help: "Requests not served, by the reason" },
     KnownMetric {
         name: "proxy_deferred_total",
-        help: "Requests beyond quota that were rejected with a time to come back",
+        help: "Requests beyond quota that were rejected with a time to retry",
     },
     KnownMetric {
         name: "proxy_rejected_without_time_total",
-        help: "Requests beyond quota that were rejected without one",
+        help: "Requests beyond quota that were rejected without a time to retry",
     },
     KnownMetric {
         name: "proxy_quota_rejected_total",
@@ -49,7 +49,7 @@
     },
     KnownMetric {
         name: "proxy_quota_unanswered_total",
-        help: "Of these, those for which no quota allocator had answered that none is left",
+        help: "Of proxy_quota_rejected_total, those for which no quota allocator had answered that no unit is left",
     },
     KnownMetric { name: "proxy_retries_total", help: "Requests sent to another server (retries)" },
     KnownMetric { name: "proxy_retries_denied_total", help: "Retries that the retry budget did not allow" },
@@ -97,7 +97,7 @@
         help: "Rollouts that have neither finished nor been reverted",
     },
     KnownMetric { name: "registry_rollout_attempts", help: "Attempts at new versions of rollouts under way" },
-    KnownMetric { name: "registry_rollout_failures", help: "Those of them that failed" },
+    KnownMetric { name: "registry_rollout_failures", help: "Attempts at new versions of rollouts under way that failed" },
     KnownMetric { name: "registry_answers_total", help: "Answers to calls from outside, by status" },
     KnownMetric { name: "registry_calls_forwarded_total", help: "Calls forwarded to a store" },
     KnownMetric { name: "registry_units_leased_total", help: "Quota units leased to proxies" },
@@ -114,7 +114,7 @@
         help: "Deregistrations that no other registry confirmed in time",
     },
     KnownMetric { name: "registry_servers_lost_total", help: "Servers that the registry has marked as lost" },
-    KnownMetric { name: "registry_stalls_total", help: "Times that the registry has stood still" },
+    KnownMetric { name: "registry_stalls_total", help: "Stalls of the registry" },
     KnownMetric {
         name: "registry_lease_requests_total",
         help: "Lease requests of proxies, for one tenant each",
@@ -142,14 +142,14 @@
         help: "The store's replica is complete or not needed, as reported to the registries",
     },
     KnownMetric { name: "config_store_voters", help: "Voting stores" },
-    KnownMetric { name: "config_store_voters_heard", help: "Voting stores that this store hears" },
+    KnownMetric { name: "config_store_voters_heard", help: "Voting stores that this store receives messages from" },
     KnownMetric { name: "config_store_quorum", help: "Voting stores that an update needs" },
     KnownMetric {
         name: "config_store_spare_voters",
-        help: "Voting stores heard beyond a quorum; below 0 nothing can be agreed on",
+        help: "Voting stores beyond a quorum that this store receives messages from; below 0 no consensus is possible",
     },
     KnownMetric { name: "config_store_open_writes", help: "Writes that are not durable yet" },
-    KnownMetric { name: "config_store_oldest_open_write_seconds", help: "Age of the oldest of them" },
+    KnownMetric { name: "config_store_oldest_open_write_seconds", help: "Age of the oldest write that is not durable yet" },
     KnownMetric { name: "config_store_writes_total", help: "Writes to the disk" },
     KnownMetric { name: "config_store_writes_refused_total", help: "Writes that failed" },
     KnownMetric { name: "config_store_write_seconds_total", help: "Time spent in completed writes" },
@@ -164,45 +164,45 @@
     },
 ];
 
-/// The labels that a process may give a metric. Others could have any number of values, and memory here would grow with them.
+/// The accepted label names. Other labels could have unbounded numbers of values, and so would the exporter's memory.
 const LABELS: [&str; 3] = ["status", "reason", "zone"];
-/// The most bytes of a label's value.
+/// The maximum length of a label value, in bytes.
 const MAX_LABEL_LENGTH: usize = 48;
 
-/// A label.
+/// A label of a metric.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Label {
-    /// Its name.
+    /// The name, one of the accepted label names.
     pub name: &'static str,
-    /// Its value.
+    /// The value.
     pub value: String,
 }
 
 /// The name of a metric with its label.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MetricName {
-    /// The metric's name, as in [`KNOWN_METRICS`].
+    /// The name of the metric, as in [`KNOWN_METRICS`].
     pub name: &'static str,
-    /// Its label, if it has one.
+    /// The label, if any.
     pub label: Option<Label>,
 }
 
-/// The name of a known metric, as in [`KNOWN_METRICS`].
+/// Returns the name as in [`KNOWN_METRICS`]; `None` if the metric is not known.
 pub fn known_name(name: &str) -> Option<&'static str> {
     KNOWN_METRICS.iter().map(|metric| metric.name).find(|known| *known == name)
 }
 
-/// Whether a metric only grows.
+/// Whether a metric is a counter.
 pub fn is_counter(name: &str) -> bool {
     name.ends_with("_total")
 }
 
-/// Whether a metric is a time in seconds.
+/// Whether a metric is a duration in seconds.
 pub fn is_duration(name: &str) -> bool {
     name.ends_with("_seconds")
 }
 
-/// Parses a name as processes write them: `proxy_answers_total{status="200"}`. `None` if the metric or its label is not known.
+/// Parses a name as processes report it, such as `proxy_answers_total{status="200"}`. `None` if the metric or its label is not known.
 pub fn parse_name(text: &str) -> Option<MetricName> {
     let Some((name, label)) = text.split_once('{') else {
         return Some(MetricName { name: known_name(text)?, label: None });
--- a/crates/exporter/src/metric_names/tests.rs
+++ b/crates/exporter/src/metric_names/tests.rs
@@ -1,11 +1,11 @@
-//! Names that are accepted, and names that are not.
+//! Tests of the metric name parser.
 
 use googletest::prelude::*;
 
 use super::*;
 
 #[gtest]
-fn names_are_parsed_as_processes_write_them_and_nothing_unbounded_is_accepted() {
+fn parses_reported_names_and_rejects_unknown_or_unbounded_ones() {
     expect_that!(
         parse_name("registry_majority"),
         some(eq(&MetricName { name: "registry_majority", label: None }))
@@ -13,8 +13,8 @@
     let label = Some(Label { name: "status", value: "200".to_string() });
     let labelled = MetricName { name: "proxy_answers_total", label };
     expect_that!(parse_name("proxy_answers_total{status=\"200\"}"), some(eq(&labelled)));
-    for bad in ["registry_mood", "up{key=\"k\"}", "up{zone=\"a", "up{zone=\"a b\"}", "up{", "{}"] {
-        expect_that!(parse_name(bad), none(), "{bad}");
+    for invalid in ["registry_mood", "up{key=\"k\"}", "up{zone=\"a", "up{zone=\"a b\"}", "up{", "{}"] {
+        expect_that!(parse_name(invalid), none(), "{invalid}");
     }
     expect_that!(parse_name(&format!("up{{zone=\"{}\"}}", "a".repeat(49))), none());
 }
--- a/crates/exporter/src/observation.rs
+++ b/crates/exporter/src/observation.rs
@@ -1,20 +1,21 @@
-//! What the alert rules are applied to.
+//! The input of the alert rules.
 
 use std::collections::BTreeMap;
 
 use pinerelay_peer_link::message::Role;
 
-/// What is known of one process at one poll.
+/// The state of one process at one poll.
 #[derive(Debug, Clone)]
 pub struct Observation {
-    /// Its program.
+    /// The role of the process.
     pub role: Role,
     /// The name of its machine.
     pub node: String,
-    /// That machine's zone; empty until it is known.
+    /// The zone of the machine; empty until it is known.
     pub zone: String,
-    /// Another number in each run of the process.
+    /// Identifies a run of the process; differs after a restart.
     pub process_id: u64,
-    /// Its metrics by name, those with labels added up. Of a process that does not answer: what is known without it.
+    /// The metrics by name, summed over their labels. For a process that does not answer, only those that the exporter keeps
+    /// itself.
     pub metrics: BTreeMap<&'static str, f64>,
 }
--- a/crates/exporter/src/process_table.rs
+++ b/crates/exporter/src/process_table.rs
@@ -1,4 +1,4 @@
-//! Which processes there are, when each may be queried, and what it answered last: a state machine without clock or sockets.
+//! The known processes, when each may be queried, and its last answer: a state machine without clock or sockets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -11,45 +11,45 @@
 use crate::observation::Observation;
 use crate::Micros;
 
-/// No process is queried more often, in microseconds.
+/// The minimum time between two queries of a process, in microseconds.
 pub const POLL_INTERVAL: Micros = 2_000_000;
-/// A core process that nobody names any more is forgotten once it has been silent for so long, in microseconds.
+/// The time in microseconds without an answer after which a core process is removed if no registry lists it.
 const FORGET_AFTER: Micros = 60_000_000;
-/// The most processes that are queried.
+/// The maximum number of processes in the table.
 const MAX_PROCESSES: usize = 2_000;
-/// The most metrics of a process that are kept.
+/// The maximum number of metrics that are read from an answer; further ones are ignored.
 const MAX_METRICS: usize = 256;
 
 /// A metric as a process reported it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReportedMetric {
-    /// Its name with its label.
+    /// The name with its label.
     pub name: MetricName,
-    /// Its value, which is finite.
+    /// The value, which is finite.
     pub value: f64,
 }
 
-/// What is known of one process.
+/// The state of one process.
 #[derive(Debug, Default)]
 pub struct Process {
-    /// The name of its machine; `None` until it is known.
+    /// The node name of the machine; `None` until it is known.
     pub node: Option<String>,
-    /// The machine's zone; empty until it is known.
+    /// The zone of the machine; empty until it is known.
     pub zone: String,
     /// Whether it answered the last query.
     pub is_up: bool,
-    /// How often it was seen to start.
+    /// The number of restarts that were observed.
     pub starts: u64,
-    /// The metrics that it reported last.
+    /// The last reported metrics; empty if the last query was not answered.
     pub metrics: Vec<ReportedMetric>,
     process_id: Option<u64>,
     last_query: Option<Micros>,
     last_answer: Micros,
-    /// A registry's list of the processes that it knows.
+    /// The process list of a registry.
     process_list: Option<ProcessList>,
 }
 
-/// All processes.
+/// All known processes.
 #[derive(Default)]
 pub struct ProcessTable {
     seeds: BTreeSet<Ipv4Addr>,
@@ -58,7 +58,7 @@
 }
 
 impl ProcessTable {
-    /// A table that knows these registries.
+    /// Creates a table of the registries at `seeds`.
     pub fn new(seeds: impl IntoIterator<Item = Ipv4Addr>) -> ProcessTable {
         let seeds: BTreeSet<Ipv4Addr> = seeds.into_iter().collect();
         let registries = seeds.iter().map(|ip| ProcessAddress::new(Role::Registry, *ip));
@@ -66,7 +66,7 @@
         ProcessTable { seeds, processes, unknown_metrics: 0 }
     }
 
-    /// The processes that may be queried now. They count as queried.
+    /// Returns the processes that may be queried now, and marks them as queried.
     pub fn take_due(&mut self, now: Micros) -> Vec<ProcessAddress> {
         let is_due = |process: &Process| process.last_query.is_none_or(|last| now >= last + POLL_INTERVAL);
         let due = self.processes.iter_mut().filter(|(_, process)| is_due(process));
@@ -77,7 +77,7 @@
         .collect()
     }
 
-    /// A process has answered.
+    /// Records the answer of a process.
     pub fn answered(&mut self, now: Micros, address: ProcessAddress, report: ProcessReport) {
         let Some(process) = self.processes.get_mut(&address) else { return };
         if report.hello.role != address.role {
@@ -85,7 +85,7 @@
             return;
         }
         if process.node.as_ref().is_some_and(|node| *node != report.hello.node) {
-            // Another machine has the address now.
+            // The address now belongs to another machine.
             *process = Process { last_query: process.last_query, ..Process::default() };
         }
         let process_id = report.hello.process_id;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Learns of processes from the list of a registry.
+    /// Adds the processes that the list of a registry names.
     fn learn_processes(&mut self, now: Micros, list: &ProcessList) {
         for ExpectedProcess { address, node } in list.expected_processes() {
             if self.processes.len() >= MAX_PROCESSES && !self.processes.contains_key(&address) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The programs of one machine have one node name.
+    /// Copies node names between the processes of a machine, which share one.
     fn share_node_names(&mut self) {
         let names: BTreeMap<Ipv4Addr, String> = self
             .processes
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A process has not answered in time.
+    /// Records that a process has not answered in time.
     pub fn unanswered(&mut self, address: ProcessAddress) {
         if let Some(process) = self.processes.get_mut(&address) {
             process.is_up = false;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Ends a poll: all that were queried have answered, or have not in time. Processes that ended as planned are forgotten.
+    /// Ends a poll, once each query was answered or has failed. Removes processes that are down and no longer expected to run.
     pub fn forget_ended(&mut self, now: Micros) {
         let expected = ExpectedProcesses::of(&self.processes);
         let ended = self.processes.iter().filter(|(address, process)| {
@@ -158,24 +158,24 @@
         }
     }
 
-    /// The processes whose node name is known.
+    /// Returns the processes whose node name is known.
     pub fn named(&self) -> impl Iterator<Item = (Role, &str, &Process)> {
         self.processes
             .iter()
             .filter_map(|(address, process)| Some((address.role, process.node.as_deref()?, process)))
     }
 
-    /// How many processes have never told their name.
+    /// The number of processes whose node name is not known.
     pub fn unnamed(&self) -> usize {
         self.processes.len() - self.named().count()
     }
 
-    /// How many metrics were reported that are not known.
+    /// The number of reported metrics that were unknown or not finite.
     pub fn unknown_metrics(&self) -> u64 {
         self.unknown_metrics
     }
 
-    /// What the alert rules are applied to.
+    /// Returns the input of the alert rules.
     pub fn observations(&self) -> Vec<Observation> {
         let has_zone = |process: &Process| !process.zone.is_empty();
         let zones: BTreeMap<&str, &str> = self
@@ -193,7 +193,7 @@
 }
 
 impl Process {
-    /// Takes the reported metrics that are known; returns how many are not.
+    /// Stores the reported metrics that are known and finite; returns the number of the others.
     fn take_metrics(&mut self, metrics: Vec<Metric>) -> u64 {
         self.metrics.clear();
         let mut unknown = 0;
@@ -212,7 +212,7 @@
         unknown
     }
 
-    /// The metrics by name, those with labels added up, and what the exporter itself knows of the process.
+    /// Returns the metrics by name, summed over their labels, and those that the exporter keeps itself.
     fn metric_sums(&self) -> BTreeMap<&'static str, f64> {
         let mut sums = BTreeMap::new();
         for metric in &self.metrics {
@@ -226,7 +226,7 @@
 
 /// The processes that registries expect to run.
 struct ExpectedProcesses {
-    /// Proxies that are linked to a registry, or that one misses; `None` while no registry answers, as nothing is known then.
+    /// Proxies that are linked to a registry or reported as missing; `None` while no registry answers.
     proxies: Option<BTreeSet<String>>,
     core: BTreeSet<Ipv4Addr>,
 }
--- a/crates/exporter/src/rules.rs
+++ b/crates/exporter/src/rules.rs
@@ -1,4 +1,4 @@
-//! The file of alert rules (TOML). Unknown keys and metrics, and times without a unit, are errors.
+//! The alert rules file (TOML). Unknown keys and metrics, and durations without a unit, are errors.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -15,45 +15,45 @@
 
 use file::{RuleRecord, RulesFile};
 
-/// The shortest window of a rate: metrics are read this often, so it holds at least two of them.
+/// The shortest window of a rate: two poll intervals.
 const MIN_RATE_WINDOW: Duration = Duration::from_secs(4);
-/// The longest time of a rule. The values of a window are kept in memory.
+/// The longest duration in a rule. Bounds memory, as the values of a window are kept.
 const MAX_DURATION: Duration = Duration::from_secs(3_600);
-/// The most rules of a file.
+/// The maximum number of rules in a file.
 const MAX_RULES: usize = 200;
-/// The most bytes of a rule's name.
+/// The maximum length of a rule's name or page, in bytes.
 const MAX_NAME_LENGTH: usize = 48;
 
-/// What of a metric is compared.
+/// The quantity that is compared with the thresholds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
-    /// Its value.
+    /// The value of the metric.
     Value,
-    /// By how much it has grown within this time, for each second of it.
+    /// The increase of the metric per second, averaged over this window.
     Rate(Duration),
 }
 
-/// On which side of the threshold trouble lies.
+/// The side of the threshold on which a rule triggers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Comparison {
-    /// Above it.
+    /// Above the threshold.
     Above,
-    /// Below it.
+    /// Below the threshold.
     Below,
 }
 
-/// Which processes share an alert.
+/// The grouping of processes that share an alert.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Grouping {
-    /// All processes.
+    /// All processes share one.
     All,
-    /// Those of a zone.
+    /// One alert per zone.
     Zone,
-    /// Those of a program.
+    /// One alert per role.
     Role,
-    /// Those of a machine.
+    /// One alert per machine.
     Node,
 }
 
@@ -61,40 +61,40 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// Somebody has to look at once.
+    /// Requires immediate attention.
     Page,
-    /// Somebody has to look today.
+    /// Requires attention on the same day.
     Ticket,
 }
 
 /// An alert rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rule {
-    /// Its name, which no other rule has.
+    /// The unique name of the rule.
     pub name: String,
     /// The metric.
     pub metric: &'static str,
-    /// What of the metric is compared.
+    /// The quantity that is compared with the thresholds.
     pub reading: Reading,
-    /// On which side of the threshold trouble lies.
+    /// The side of the thresholds on which the rule triggers.
     pub comparison: Comparison,
-    /// Past this a process is in trouble.
+    /// The threshold beyond which a process is triggered.
     pub raise: f64,
-    /// Once it is not past this, it is not in trouble any more.
+    /// A triggered process stays triggered while it is beyond this threshold.
     pub clear: f64,
-    /// How long trouble lasts before the alert is raised.
+    /// How long a group must have triggered processes before its alert is raised.
     pub hold: Duration,
-    /// How long there is no trouble before the alert is cleared.
+    /// How long a group must have no triggered process before its alert is cleared.
     pub calm: Duration,
-    /// Which processes share an alert.
+    /// The processes that share an alert.
     pub grouping: Grouping,
     /// How urgent the alert is.
     pub severity: Severity,
-    /// The heading in the operators' page of alerts, as a link names it.
+    /// The anchor of the alert's heading in the operators' documentation.
     pub page: String,
 }
 
-/// A key of a rule whose value cannot be used.
+/// A key of a rule with an invalid value, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct InvalidKey {
     key: &'static str,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Whether a text is a name of lower-case letters, digits and one other character.
+/// Whether a text is a name of lower-case letters, digits and `separator`, of at most [`MAX_NAME_LENGTH`] bytes.
 fn is_plain_name(text: &str, separator: u8) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == separator;
     !text.is_empty() && text.len() <= MAX_NAME_LENGTH && text.bytes().all(is_allowed)
@@ -115,10 +115,10 @@
 
 fn check_names(record: &RuleRecord) -> Result<(), InvalidKey> {
     if !is_plain_name(&record.name, b'_') {
-        return Err(InvalidKey::new("name", "lower-case letters, digits and _ are wanted, 48 at the most"));
+        return Err(InvalidKey::new("name", "expected at most 48 lower-case letters, digits and _"));
     }
     if !is_plain_name(&record.page, b'-') {
-        return Err(InvalidKey::new("page", "the heading's anchor in docs/operate/alerts.md is wanted"));
+        return Err(InvalidKey::new("page", "expected the anchor of a heading in docs/operate/alerts.md"));
     }
     Ok(())
 }
@@ -127,10 +127,14 @@
     let metric = record.metric.0;
     let window = record.rate_over.as_ref().map(|window| window.0);
     match (window, metric_names::is_counter(metric)) {
-        (None, true) => Err(InvalidKey::new("rate_over", format!("a time is wanted: {metric} only grows"))),
-        (Some(_), false) => Err(InvalidKey::new("rate_over", format!("not wanted: {metric} does not count"))),
+        (None, true) => {
+            Err(InvalidKey::new("rate_over", format!("a duration is required: {metric} is a counter")))
+        }
+        (Some(_), false) => {
+            Err(InvalidKey::new("rate_over", format!("not allowed: {metric} is not a counter")))
+        }
         (Some(window), true) if window < MIN_RATE_WINDOW || window > MAX_DURATION => {
-            Err(InvalidKey::new("rate_over", "a time from 4s to 3600s is wanted"))
+            Err(InvalidKey::new("rate_over", "expected a duration from 4s to 3600s"))
         }
         (Some(window), true) => Ok(Reading::Rate(window)),
         (None, false) => Ok(Reading::Value),
@@ -140,7 +144,7 @@
 fn check_durations(record: &RuleRecord) -> Result<(), InvalidKey> {
     for (key, duration) in [("hold", &record.hold), ("calm", &record.calm)] {
         if duration.0 > MAX_DURATION {
-            return Err(InvalidKey::new(key, "a time up to 3600s is wanted"));
+            return Err(InvalidKey::new(key, "expected a duration of at most 3600s"));
         }
     }
     Ok(())
@@ -163,7 +167,7 @@
             Comparison::Below => clear >= raise,
         };
         if !is_clear_within {
-            return Err(InvalidKey::new("clear", "it lies beyond raise: the side without trouble is wanted"));
+            return Err(InvalidKey::new("clear", "must not lie beyond raise"));
         }
         Ok(Rule {
             name: record.name,
@@ -181,20 +185,20 @@
     }
 }
 
-/// Reads a file of rules.
+/// Reads an alert rules file.
 ///
 /// # Errors
-/// If it cannot be read, or what is wrong with which key.
+/// If the file cannot be read or is invalid; the error names the key.
 pub fn read_file(path: &Path) -> Result<Vec<Rule>, FileError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| FileError::Unreadable { path: path.into(), error })?;
     parse(path, &text)
 }
 
-/// Parses the text of a file of rules.
+/// Parses the text of an alert rules file. `path` is named in errors.
 ///
 /// # Errors
-/// What is wrong with which key.
+/// If the text is invalid; the error names the key.
 pub fn parse(path: &Path, text: &str) -> Result<Vec<Rule>, FileError> {
     let invalid = |key: String, reason: String| FileError::Invalid { path: path.into(), key, reason };
     let parsed =
@@ -202,7 +206,7 @@
     let file: RulesFile = serde_path_to_error::deserialize(parsed)
         .map_err(|error| invalid(error.path().to_string(), error.inner().message().into()))?;
     if file.alert.len() > MAX_RULES {
-        return Err(invalid("alert".into(), format!("{MAX_RULES} rules at the most are wanted")));
+        return Err(invalid("alert".into(), format!("at most {MAX_RULES} rules are allowed")));
     }
     let mut rules = Vec::new();
     let mut names = BTreeSet::new();
@@ -210,7 +214,7 @@
         let path_of = |key: &str| format!("alert[{index}].{key}");
         let rule = Rule::try_from(record).map_err(|error| invalid(path_of(error.key), error.reason))?;
         if !names.insert(rule.name.clone()) {
-            return Err(invalid(path_of("name"), format!("another rule is called {:?}, too", rule.name)));
+            return Err(invalid(path_of("name"), format!("another rule has the name {:?}", rule.name)));
         }
         rules.push(rule);
     }
--- a/crates/exporter/src/rules/file.rs
+++ b/crates/exporter/src/rules/file.rs
@@ -1,4 +1,4 @@
-//! The rules as they are written in the file.
+//! The format of the alert rules file.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use super::{Comparison, Grouping, Severity};
 use crate::metric_names::known_name;
 
-/// The file.
+/// The top level of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RulesFile {
     pub alert: Vec<RuleRecord>,
 }
 
-/// A rule, before its values are checked against each other.
+/// A rule before cross-field validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RuleRecord {
     pub name: String,
-    /// Files written for releases up to 0.2.0 call it `figure`.
+    /// Files for releases up to 0.2.0 use the key `figure`.
     #[serde(alias = "figure")]
     pub metric: MetricKey,
     pub rate_over: Option<WrittenDuration>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A time that is written with its unit.
+/// A duration that is written as text with a unit.
 pub(super) struct WrittenDuration(pub Duration);
 
 impl<'de> Deserialize<'de> for WrittenDuration {
@@ -63,7 +63,7 @@
     type Value = WrittenDuration;
 
     fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
-        formatter.write_str("a time with its unit, such as \"1500ms\" or \"2.5s\"")
+        formatter.write_str("a duration with a unit, such as \"1500ms\" or \"2.5s\"")
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<WrittenDuration, E> {
@@ -72,18 +72,18 @@
     }
 }
 
-/// A threshold: a time, in seconds, for a metric that is a time, otherwise a number. The error tells what is wanted.
+/// Parses a threshold: a duration, returned in seconds, if `is_duration`, otherwise a number. The error says what is expected.
 pub(super) fn threshold(value: &Value, is_duration: bool) -> Result<f64, String> {
     if is_duration {
         let parsed = value.as_str().and_then(duration::parse_duration);
         return parsed.map(|duration| duration.as_secs_f64()).ok_or_else(|| {
             format!(
-                "a time with its unit, such as \"1500ms\" or \"2.5s\", is wanted for this metric, not {value}"
+                "expected a duration with a unit for this metric, such as \"1500ms\" or \"2.5s\", not {value}"
             )
         });
     }
     let number = value.as_float().or(value.as_integer().map(|integer| integer as f64));
     number
         .filter(|number| number.is_finite())
-        .ok_or_else(|| format!("a number is wanted for this metric, not {value}"))
+        .ok_or_else(|| format!("expected a number for this metric, not {value}"))
 }
--- a/crates/exporter/tests/process_table.rs
+++ b/crates/exporter/tests/process_table.rs
@@ -1,4 +1,4 @@
-//! Who is asked, how often, and who is forgotten.
+//! Tests which processes are queried, how often, and when they are removed.
 
 use std::net::Ipv4Addr;
 
@@ -13,37 +13,37 @@
 const CORE: Ipv4Addr = Ipv4Addr::new(127, 0, 1, 1);
 const EDGE: Ipv4Addr = Ipv4Addr::new(127, 0, 2, 1);
 
-fn hello(role: Role, ip: Ipv4Addr, life: u64) -> Hello {
+fn hello(role: Role, ip: Ipv4Addr, run_id: u64) -> Hello {
     let node = if ip == CORE { "core-1" } else { "edge-1" };
-    Hello { node: node.into(), ip: ip.to_string(), role, process_id: life }
+    Hello { node: node.into(), ip: ip.to_string(), role, process_id: run_id }
 }
 
 fn registry(proxies: bool, missing: bool) -> ProcessReport {
     let mut linked = vec![hello(Role::Registry, CORE, 1)];
     linked.extend(proxies.then(|| hello(Role::Proxy, EDGE, 1)));
     let missing = if missing { vec!["edge-1".to_string()] } else { Vec::new() };
-    let rolled = ProcessList { linked, missing, voters: vec![CORE.to_string()] };
+    let expected_processes = ProcessList { linked, missing, voters: vec![CORE.to_string()] };
     ProcessReport {
         hello: hello(Role::Registry, CORE, 1),
         metrics: Vec::new(),
-        process_list: Some(rolled),
+        process_list: Some(expected_processes),
         items: Vec::new(),
         bytes: 0,
     }
 }
 
-fn proxy(life: u64) -> ProcessReport {
-    let figures = [
+fn proxy(run_id: u64) -> ProcessReport {
+    let reported_metrics = [
         ("proxy_info{zone=\"a\"}", 1.0),
         ("proxy_answers_total{status=\"200\"}", 5.0),
         ("proxy_answers_total{key=\"secret\"}", 5.0),
         ("proxy_mood", 1.0),
         ("proxy_ready", f64::NAN),
     ];
-    let figures = figures.map(|(name, value)| Metric::new(name, value)).to_vec();
+    let reported_metrics = reported_metrics.map(|(name, value)| Metric::new(name, value)).to_vec();
     ProcessReport {
-        hello: hello(Role::Proxy, EDGE, life),
-        metrics: figures,
+        hello: hello(Role::Proxy, EDGE, run_id),
+        metrics: reported_metrics,
         process_list: None,
         items: Vec::new(),
         bytes: 0,
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn all_are_learned_from_one_registry_asked_once_in_two_seconds_and_forgotten_when_they_leave() {
+fn processes_are_discovered_queried_once_per_interval_and_removed_when_they_end() {
     let mut table = ProcessTable::new([CORE]);
     expect_that!(table.take_due(0), eq(&vec![ProcessAddress::new(Role::Registry, CORE)]));
     table.answered(0, ProcessAddress::new(Role::Registry, CORE), registry(true, false));
@@ -70,18 +70,18 @@
     expect_that!(names(&table), eq(&store_down));
     expect_that!(table.take_due(POLL_INTERVAL - 1), is_empty());
     expect_that!(table.take_due(POLL_INTERVAL + 1), len(eq(3)));
-    // The proxy is gone without a word: it is down as long as a registry misses it.
+    // The proxy disappeared without a planned shutdown: it is down while a registry reports it as missing.
     table.answered(POLL_INTERVAL, ProcessAddress::new(Role::Registry, CORE), registry(false, true));
     table.unanswered(ProcessAddress::new(Role::Proxy, EDGE));
     table.forget_ended(POLL_INTERVAL);
     expect_that!(names(&table)[0], eq((Role::Proxy, false)));
-    // The registry itself does not answer: nothing is known to have gone.
+    // The registry does not answer either: without its list, no process is removed.
     table.unanswered(ProcessAddress::new(Role::Registry, CORE));
     table.forget_ended(POLL_INTERVAL);
     expect_that!(names(&table), len(eq(3)));
     table.answered(2 * POLL_INTERVAL, ProcessAddress::new(Role::Registry, CORE), registry(false, false));
     table.forget_ended(100 * POLL_INTERVAL);
-    // The core's store is still wanted, however long it is silent.
+    // The store on a core machine is still expected, however long it does not answer.
     expect_that!(names(&table), eq(&vec![(Role::Registry, true), (Role::ConfigStore, false)]));
 }
 
@@ -89,11 +89,11 @@
 fn starts_are_counted_and_only_known_metrics_with_bounded_labels_are_served() {
     let mut table = ProcessTable::new([CORE]);
     table.answered(0, ProcessAddress::new(Role::Registry, CORE), registry(true, false));
-    for life in [1, 1, 2, 3] {
-        table.answered(0, ProcessAddress::new(Role::Proxy, EDGE), proxy(life));
+    for run_id in [1, 1, 2, 3] {
+        table.answered(0, ProcessAddress::new(Role::Proxy, EDGE), proxy(run_id));
     }
-    let text =
-        exposition::write(&table, &Alerts::new(Vec::new()), ExporterMetrics::default()).expect("a page");
+    let text = exposition::write(&table, &Alerts::new(Vec::new()), ExporterMetrics::default())
+        .expect("metrics text");
     for line in [
         "# TYPE pinerelay_up gauge",
         "pinerelay_up{role=\"proxy\",node=\"edge-1\",zone=\"a\"} 1.0",
