--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -34,24 +34,24 @@
     },
 }
 
-/// Carries out a command line; its first word is the program's name. Exits with 0, with 1 if the node can't
-/// start or a file is not valid, and with 2 on a command line that can't be read.
-pub fn main(words: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let cli = match Cli::try_parse_from(words) {
+/// Runs a command line; its first argument is the program's name. Exits with 0, with 1 if the node can't
+/// start or a file is not valid, and with 2 if the command line can't be parsed.
+pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
+    let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
         Err(error) => {
-            // Nothing to be done if the message can't be written.
+            // There is no way to report that the message can't be written.
             let _ = error.print();
             return if error.use_stderr() { ExitCode::from(2) } else { ExitCode::SUCCESS };
         }
     };
-    let named =
+    let path_or_variable =
         |flag: Option<PathBuf>, variable| flag.or_else(|| std::env::var_os(variable).map(PathBuf::from));
     let result = match cli.command {
         Some(Command::Check { files }) => return check_all(&files),
-        None => named(cli.config, "PROXY_CONFIG")
+        None => path_or_variable(cli.config, "PROXY_CONFIG")
             .ok_or(StartError::NoConfig)
-            .and_then(|config| run(config, named(cli.operator, "PINERELAY_OPERATOR"))),
+            .and_then(|config| run(config, path_or_variable(cli.operator, "PINERELAY_OPERATOR"))),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -77,7 +77,7 @@
     code
 }
 
-/// What is wrong with a file, a line each.
+/// All faults of a file, one line each.
 fn faults_of(file: &Path) -> Vec<String> {
     if file.extension().is_some_and(|e| e == "toml") {
         return Operator::read(file).err().iter().map(ToString::to_string).collect();
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform writes: read, and checked.
+//! Reads and validates the configuration that the platform writes.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -13,32 +13,32 @@
 
 use crate::strict::FileError;
 
-/// The configuration of one node. Keys that are not known here are passed over: the platform may add some.
+/// The configuration of one node. Unknown keys are ignored: the platform may add some.
 #[derive(Deserialize)]
 pub struct Config {
     listen: String,
-    /// Where operators call, if they may.
+    /// Address for operators' calls, if any.
     #[serde(default)]
     ops: Option<String>,
     discovery: String,
     #[serde(default)]
     counter: Option<String>,
     seed: String,
-    /// What the platform allows.
+    /// The platform's limits.
     #[serde(default)]
     pub limits: Limits,
-    /// The app servers as last heard of.
+    /// The app servers last known to the platform.
     #[serde(default)]
     pub known: List,
     /// The settings.
     pub settings: Env,
 }
 
-/// What the platform allows.
+/// Resource limits that the platform sets.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum open file descriptors.
     pub sockets: usize,
     /// Memory, in MiB.
     pub memory_mb: usize,
@@ -50,44 +50,44 @@
     }
 }
 
-/// What a configuration names, read.
+/// The parsed addresses and the seed of a configuration.
 pub struct Checked {
-    /// Where to listen.
+    /// Address to listen on for clients.
     pub listen: SocketAddr,
-    /// Where operators call, if they may.
+    /// Address for operators' calls, if any.
     pub ops: Option<SocketAddr>,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter is, if there is one.
+    /// Address of the quota counter, if any.
     pub counter: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 /// Why a node could not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// No file is named.
+    /// No configuration file is given.
     NoConfig,
     /// The file can't be read.
     Unreadable(PathBuf, std::io::Error),
-    /// The file is no configuration.
+    /// The file is not a configuration.
     Malformed(PathBuf, serde_json::Error),
-    /// A key holds no address.
+    /// The value of a key or variable is not an address.
     Address(&'static str, String),
-    /// A key is missing that the running configuration has.
+    /// A key of the running configuration is missing in the new one.
     Missing(PathBuf, String),
-    /// A key holds what can't be used.
-    Unfit(PathBuf, String),
-    /// PROXY_FD names no listening socket.
+    /// The value of a key can't be used.
+    Unusable(PathBuf, String),
+    /// PROXY_FD does not name a listening socket.
     Inherited(String),
-    /// The seed is no number.
+    /// The seed is not a hexadecimal number of 64 bits.
     Seed(String),
     /// The operator's file is not valid.
     Operator(FileError),
     /// The address can't be listened on.
     Listen(SocketAddr, std::io::Error),
-    /// The system refused something.
+    /// A system call failed.
     System(std::io::Error),
 }
 
@@ -101,7 +101,7 @@
             }
             StartError::Address(what, text) => write!(f, "{what}: {text:?} is no address"),
             StartError::Missing(path, key) => write!(f, "{}: {key} is missing", path.display()),
-            StartError::Unfit(path, why) => write!(f, "{}: {why}", path.display()),
+            StartError::Unusable(path, why) => write!(f, "{}: {why}", path.display()),
             StartError::Inherited(why) => write!(f, "PROXY_FD: {why}"),
             StartError::Seed(text) => write!(f, "seed: {text:?} is no hexadecimal number of 64 bits"),
             StartError::Operator(error) => error.fmt(f),
@@ -125,7 +125,7 @@
         read(path)
     }
 
-    /// What it names; an error is the first thing for which a node could not start.
+    /// Parses addresses and seed; an error is the first fault that would keep a node from starting.
     pub fn checked(&self) -> Result<Checked, StartError> {
         Ok(Checked {
             listen: address("listen", &self.listen)?,
@@ -136,7 +136,7 @@
         })
     }
 
-    /// All that is wrong with it, also where a node would start and pass it over: key, and what is wanted.
+    /// All faults, including those with which a node would still start: the key, and what is expected.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = self.checked().err().iter().map(ToString::to_string).collect();
         let env = &self.settings;
@@ -150,8 +150,8 @@
         ];
         for (key, names) in names {
             let mut seen = BTreeSet::new();
-            let again = names.into_iter().filter(|n| !seen.insert(n.as_str()));
-            faults.extend(again.map(|n| format!("settings.{key}: {n:?} stands there twice")));
+            let duplicates = names.into_iter().filter(|n| !seen.insert(n.as_str()));
+            faults.extend(duplicates.map(|n| format!("settings.{key}: {n:?} stands there twice")));
         }
         let mut seen = BTreeSet::new();
         for (place, entry) in self.known.endpoints.iter().enumerate() {
@@ -180,36 +180,36 @@
     }
 }
 
-/// A configuration as it stands in its file: what the next one is held against.
-pub struct Running(Value);
+/// The running configuration as JSON, against which a new one is compared.
+pub struct RunningConfig(Value);
 
-impl Running {
+impl RunningConfig {
     /// Reads the configuration that a node starts with.
     pub fn start(path: &Path) -> Result<(Self, Config), StartError> {
-        let text = text(path)?;
-        Ok((Running(parse(path, &text)?), parse(path, &text)?))
+        let text = read_text(path)?;
+        Ok((RunningConfig(parse(path, &text)?), parse(path, &text)?))
     }
 
-    /// Reads one that has replaced it, for a running node: whole and usable, or an error. Danger: half of a file that
-    /// is being written, or one with a key gone, must change nothing, not even an address.
+    /// Reads the configuration that has replaced this one; fails unless it is complete and usable. Danger: a partially
+    /// written file, or one that lacks a key, must change nothing, not even an address.
     pub fn next(&self, path: &Path) -> Result<(Self, Config, Checked), StartError> {
-        // Danger: read twice, the file may be another the second time, and what was checked is not what is taken.
-        let text = text(path)?;
+        // Danger: if the file were read twice, it could change in between, and the version used would be unchecked.
+        let text = read_text(path)?;
         let value: Value = parse(path, &text)?;
         if let Some(key) = missing(&self.0, &value, "") {
             return Err(StartError::Missing(path.into(), key));
         }
         let config: Config = parse(path, &text)?;
         let checked = config.checked()?;
-        match unfit(&config.settings) {
-            Some(why) => Err(StartError::Unfit(path.into(), why)),
-            None => Ok((Running(value), config, checked)),
+        match first_unusable(&config.settings) {
+            Some(why) => Err(StartError::Unusable(path.into(), why)),
+            None => Ok((RunningConfig(value), config, checked)),
         }
     }
 }
 
-/// The first key that the running configuration has and the new one lacks. Of the entries of a list those keys are
-/// wanted that all entries have now; what app servers are known may change altogether.
+/// Returns the first key that the running configuration has and the new one lacks. List entries must have the keys that
+/// all entries of the running list have; the known app servers may change completely.
 fn missing(running: &Value, new: &Value, at: &str) -> Option<String> {
     match (running, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| {
@@ -235,8 +235,8 @@
     }
 }
 
-/// What of new settings a node can't run with.
-fn unfit(env: &Env) -> Option<String> {
+/// The first fault of new settings with which a node can't run.
+fn first_unusable(env: &Env) -> Option<String> {
     if env.classes.is_empty() {
         return Some("settings.classes: at least one class is wanted".into());
     }
@@ -260,10 +260,10 @@
 }
 
 fn read<T: DeserializeOwned>(path: &Path) -> Result<T, StartError> {
-    parse(path, &text(path)?)
+    parse(path, &read_text(path)?)
 }
 
-fn text(path: &Path) -> Result<Vec<u8>, StartError> {
+fn read_text(path: &Path) -> Result<Vec<u8>, StartError> {
     std::fs::read(path).map_err(|e| StartError::Unreadable(path.into(), e))
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The edge node as a program: configuration, command line, runtime, and the sockets round the decisions.
+//! The edge node as a program: configuration, command line, runtime, and network I/O.
 //!
-//! The decisions themselves are the crate `mountbend`; what goes over the sockets is `pinerelay-protocol`.
+//! The decision logic is in the crate `mountbend`, the network protocol in `pinerelay-protocol`.
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: what is accepted, what a request must hold, the answers, and `/up`.
+//! Serves clients: validates requests, passes them to the node, writes the answers, and answers `/up`.
 
 pub mod listen;
 
@@ -20,82 +20,83 @@
 use crate::net::body::BadBody;
 use crate::net::body_memory::BodyMemoryPool;
 use crate::net::node::{Node, FAIL_BEFORE};
-use crate::net::operators::figures::{self, Figures};
+use crate::net::operators::figures::{self, Metrics};
 use crate::net::ports::{Answer, Forward, Payload};
 use crate::net::servers::Servers;
 use crate::net::streamed_body::{buffer_body, Buffered, Download, End, Outgoing, Upload};
 use crate::net::Common;
 use crate::operator::Front;
 
-/// Clients use new classes 1.2 s after the node has heard of them at the earliest (the operators' page on retuning).
-const FORMER: Duration = Duration::from_millis(1_200);
-/// What a client that sends 64 kB a second takes for the part that is taken in ahead.
-const AHEAD: Duration = Duration::from_millis(1_030);
-/// How long before the client gives up a long request has failed.
-const FAIL: Duration = Duration::from_micros(FAIL_BEFORE);
-/// When a client is to come back whose long body found no room, in seconds.
-const FULL_WAIT: &str = "1";
-/// An answer's body.
+/// How long requests are still accepted under the previous rules after a reload: clients use new classes 1.2 s after the
+/// node has received them at the earliest (the operators' page on retuning).
+const PREVIOUS_RULES_PERIOD: Duration = Duration::from_millis(1_200);
+/// How long a client that sends 64 kB a second takes for the part of a body that is buffered before forwarding.
+const BUFFERED_PART_TIME: Duration = Duration::from_millis(1_030);
+/// How long before the client's deadline a request with a streamed body fails.
+const FAIL_MARGIN: Duration = Duration::from_micros(FAIL_BEFORE);
+/// `Retry-After` of a request whose streamed body found no free body memory, in seconds.
+const MEMORY_RETRY_AFTER: &str = "1";
+/// The body of an answer.
 type Reply = Outgoing<Download>;
 
-/// The clients' side of a node.
+/// Serves the clients of a node.
 pub struct Clients {
     node: Rc<Node>,
     servers: Rc<Servers>,
     rules: RefCell<Rc<Rules>>,
-    /// The rules before the last retuning, and until when they are still heeded.
-    former: RefCell<Option<(Rc<Rules>, Instant)>>,
-    figures: Rc<Figures>,
-    room: BodyMemoryPool,
+    /// The rules before the last reload, and until when they still apply.
+    previous_rules: RefCell<Option<(Rc<Rules>, Instant)>>,
+    metrics: Rc<Metrics>,
+    body_pool: BodyMemoryPool,
     /// How long a head may take, from connecting or from its first byte, and then a body.
     head_wait: Duration,
     body_wait: Duration,
 }
 
 impl Clients {
-    /// The clients' side of this node.
+    /// Creates the handler of this node's clients.
     pub fn new(
         node: Rc<Node>,
         servers: Rc<Servers>,
         rules: Rules,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
         common: Common,
-        front: &Front,
+        settings: &Front,
     ) -> Rc<Self> {
         Rc::new(Clients {
             node,
             servers,
             rules: RefCell::new(Rc::new(rules)),
-            former: RefCell::default(),
-            figures,
-            room: common.body_memory,
-            head_wait: front.head_wait.0,
-            body_wait: front.body_wait.0,
+            previous_rules: RefCell::default(),
+            metrics,
+            body_pool: common.body_memory,
+            head_wait: settings.head_wait.0,
+            body_wait: settings.body_wait.0,
         })
     }
 
-    /// Reads requests by new rules. Clients learn of them later than the node does: what fits the old ones alone is
-    /// taken by these for a moment.
+    /// Replaces the rules. Clients learn of new rules later than the node, so a request that is valid only by the previous
+    /// rules is still accepted for a moment.
     pub fn retune(&self, rules: Rules) {
         let old = self.rules.replace(Rc::new(rules));
-        self.former.replace(Some((old, Instant::now() + FORMER)));
+        self.previous_rules.replace(Some((old, Instant::now() + PREVIOUS_RULES_PERIOD)));
     }
 
-    /// What the decisions have to know of a request, and its class's name.
+    /// Parses a request head for the controller, by the current rules or else the previous ones.
     fn read(&self, head: &request::Parts, now: Micros) -> Result<NewRequest, Malformed> {
         let read =
             |rules: &Rules| rules.read(&head.method, head.uri.path(), head.uri.query(), &head.headers, now);
         read(&self.rules.borrow()).or_else(|malformed| {
-            let mut former = self.former.borrow_mut();
-            if former.as_ref().is_some_and(|(_, until)| Instant::now() > *until) {
-                *former = None;
+            let mut previous_rules = self.previous_rules.borrow_mut();
+            if previous_rules.as_ref().is_some_and(|(_, until)| Instant::now() > *until) {
+                *previous_rules = None;
             }
-            former.as_ref().and_then(|(rules, _)| read(rules).ok()).ok_or(malformed)
+            previous_rules.as_ref().and_then(|(rules, _)| read(rules).ok()).ok_or(malformed)
         })
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet: docs/ROADMAP.md, Gateway 13")]
-    async fn serve(&self, request: Request<Incoming>, wire: &RawHead) -> Result<Answer, Rejected> {
+    async fn serve(&self, request: Request<Incoming>, raw_head: &RawHead) -> Result<Answer, Rejected> {
         let now = self.node.clock.now();
         let (head, body) = request.into_parts();
         if head.uri.path() == "/up" {
@@ -109,29 +110,29 @@
             if codings.next().is_some() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
                 return Err(Rejected(StatusCode::NOT_IMPLEMENTED, "chunked alone is decoded here\n"));
             }
-            // Danger: one body with two lengths may hide another request (RFC 9112, 6.1 and 6.3), and of the two
-            // headers only this one is left by now.
-            if wire.has_content_length() {
-                return Err(bad("a body comes in chunks or with a length, not with both\n"));
+            // Danger: a body with two lengths may hide another request (RFC 9112, 6.1 and 6.3), and of the two
+            // headers only this one is left in the parsed head.
+            if raw_head.has_content_length() {
+                return Err(bad_request("a body comes in chunks or with a length, not with both\n"));
             }
         }
-        let mut new = self.read(&head, now).map_err(|Malformed(why)| bad(why))?;
+        let mut new = self.read(&head, now).map_err(|Malformed(why)| bad_request(why))?;
         let class = head.headers.get(CLASS).cloned();
         let begun = Instant::now();
         let wait = new.due - now;
-        // As much as is taken in ahead may come at the least pace that a client is held to.
-        let body_by = begun + self.body_wait + AHEAD;
-        let payload = match timeout_at(body_by, buffer_body(body, BODY_MOST, None, &self.room)).await {
+        // The buffered part may arrive at the minimum rate that is demanded of a client.
+        let body_by = begun + self.body_wait + BUFFERED_PART_TIME;
+        let payload = match timeout_at(body_by, buffer_body(body, BODY_MOST, None, &self.body_pool)).await {
             Ok(Ok(Buffered::Complete(body))) => Payload::Buffered(body),
             Ok(Ok(Buffered::Partial(first, rest))) => {
                 let wait = Duration::from_micros(wait);
-                let pipe = self.room.try_reserve_stream();
-                let full = pipe.is_none();
-                let upload = Upload::new(first, rest, pipe, wait, begun, self.body_wait);
+                let reservation = self.body_pool.try_reserve_stream();
+                let full = reservation.is_none();
+                let upload = Upload::new(first, rest, reservation, wait, begun, self.body_wait);
                 if full && head.method != Method::GET {
-                    // Danger: one long body more, and the process is killed for its memory, with all it holds.
+                    // Danger: with one more streamed body the process may be killed for its memory, with all open requests.
                     upload.drain();
-                    self.figures.ended(class_of(&class), figures::Result::Rejected);
+                    self.metrics.request_ended(class_of(&class), figures::Result::Rejected);
                     return Err(Rejected(
                         StatusCode::SERVICE_UNAVAILABLE,
                         "no room for one long body more\n",
@@ -142,60 +143,64 @@
             Ok(Err(BadBody::TooLong)) => {
                 return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MB\n"));
             }
-            Ok(Err(BadBody::Broken | BadBody::Malformed)) => return Err(bad("the body is not whole\n")),
+            Ok(Err(BadBody::Broken | BadBody::Malformed)) => {
+                return Err(bad_request("the body is not whole\n"))
+            }
             Err(_) => return Err(Rejected(StatusCode::REQUEST_TIMEOUT, "the body came too late\n")),
         };
         let upload = match &payload {
             Payload::Buffered(body) if head.method == Method::GET && !body.is_empty() => {
-                return Err(bad("a GET has no body\n"));
+                return Err(bad_request("a GET has no body\n"));
             }
             Payload::Buffered(_) => None,
-            Payload::Streamed(_) if head.method == Method::GET => return Err(bad("a GET has no body\n")),
+            Payload::Streamed(_) if head.method == Method::GET => {
+                return Err(bad_request("a GET has no body\n"))
+            }
             Payload::Streamed(upload) => Some(upload.clone()),
         };
         // A request's time counts from its last byte.
         new.due = self.node.clock.now() + wait;
-        let last_call = self.node.answer_deadline(new.due);
+        let answer_by = self.node.answer_deadline(new.due);
         let mut headers = head.headers;
-        // A request in absolute form goes on in origin form.
+        // A request target in absolute form is forwarded in origin form.
         let uri = match head.uri.scheme() {
             None => head.uri,
-            Some(_) => head.uri.path_and_query().cloned().map(Uri::from).ok_or(bad("no path\n"))?,
+            Some(_) => head.uri.path_and_query().cloned().map(Uri::from).ok_or(bad_request("no path\n"))?,
         };
         let forward = Forward {
             method: head.method,
             uri,
-            id: headers.remove(REQUEST_ID).ok_or(bad("no id\n"))?,
+            id: headers.remove(REQUEST_ID).ok_or(bad_request("no id\n"))?,
             key: headers.remove(IDEMPOTENCY_KEY),
             body: payload,
         };
         let id = new.id.clone();
-        let pending = self.figures.taken();
+        let pending = self.metrics.request_started();
         let answer =
             self.node.take(new, forward).map_err(|_| Rejected(StatusCode::CONFLICT, "id in use\n"))?;
         // When the client goes away, this future is dropped with its connection.
         let _waited = self.node.waiting_client(id);
         let overdue = async {
             match &upload {
-                None => sleep_until(last_call).await,
-                Some(upload) => sleep_until(upload.ended().await + upload.wait - FAIL).await,
+                None => sleep_until(answer_by).await,
+                Some(upload) => sleep_until(upload.ended().await + upload.wait - FAIL_MARGIN).await,
             }
         };
         let answer = tokio::select! {
             biased;
-            // Never a refusal where the node gives none: nothing is known of what the attempts have done.
+            // Without an answer from the node this must not be a refusal: the attempts may have had an effect.
             answer = answer => Ok(answer.unwrap_or(Answer::Failed(Reason::TimedOut))),
             _ = overdue => Err(Rejected(StatusCode::GATEWAY_TIMEOUT, "")),
         };
         upload.iter().for_each(|upload| upload.drain());
         let class = class_of(&class);
         if let Ok(Answer::Streamed(body)) = answer {
-            let (figures, class) = (self.figures.clone(), String::from(class));
+            let (metrics, class) = (self.metrics.clone(), String::from(class));
             return Ok(Answer::Streamed(body.counted(move |end| {
                 let _pending = pending;
                 let result =
                     if end == End::Complete { figures::Result::Completed } else { figures::Result::Failed };
-                figures.ended(&class, result);
+                metrics.request_ended(&class, result);
             })));
         }
         let (result, why) = match &answer {
@@ -204,8 +209,8 @@
             Ok(Answer::Failed(why)) => (figures::Result::Failed, Some(*why)),
             Err(_) => (figures::Result::Failed, Some(Reason::TimedOut)),
         };
-        self.figures.ended(class, result);
-        why.into_iter().for_each(|why| self.figures.unserved(class, why));
+        self.metrics.request_ended(class, result);
+        why.into_iter().for_each(|why| self.metrics.unserved(class, why));
         answer
     }
 }
@@ -213,24 +218,24 @@
 impl Handler for Clients {
     type Reply = Reply;
 
-    async fn answer(&self, request: Request<Incoming>, wire: &RawHead) -> Response<Reply> {
-        // Danger: where a body in chunks ends, the next request may have been read along with it. Its head is not
-        // looked at for what this one's was.
+    async fn answer(&self, request: Request<Incoming>, raw_head: &RawHead) -> Response<Reply> {
+        // Danger: the next request may have been read along with the end of a chunked body. Its raw head would not be
+        // checked as this one's was.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let (mut response, end) = match self.serve(request, wire).await {
+        let (mut response, end) = match self.serve(request, raw_head).await {
             Ok(Answer::Served(body)) => (Response::new(body.into()), false),
             Ok(Answer::Streamed(body)) => (Response::new(Reply::Streamed(body)), false),
-            Ok(Answer::Refused(wait, _)) => (refused(wait), false),
-            Ok(Answer::Failed(_)) => (plain(StatusCode::BAD_GATEWAY, ""), false),
+            Ok(Answer::Refused(wait, _)) => (refusal(wait), false),
+            Ok(Answer::Failed(_)) => (plain_answer(StatusCode::BAD_GATEWAY, ""), false),
             Err(Rejected(status, why)) => {
-                let mut response = plain(status, why);
+                let mut response = plain_answer(status, why);
                 if status == StatusCode::SERVICE_UNAVAILABLE {
-                    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(FULL_WAIT));
+                    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(MEMORY_RETRY_AFTER));
                 }
                 (response, status.is_client_error() && status != StatusCode::CONFLICT)
             }
         };
-        // Danger: behind a request that can't be trusted may lie another that its sender hid there.
+        // Danger: another request may be smuggled behind a malformed one.
         if end || chunked || self.node.stopping() {
             mark_last_answer(&mut response);
         }
@@ -254,25 +259,25 @@
     class.as_ref().and_then(|c| c.to_str().ok()).unwrap_or_default()
 }
 
-/// An answer to what is no proper request, or had no answer in time.
+/// Status and text of the answer to a request that was rejected here, or had no answer in time.
 struct Rejected(StatusCode, &'static str);
 
-fn bad(why: &'static str) -> Rejected {
+fn bad_request(why: &'static str) -> Rejected {
     Rejected(StatusCode::BAD_REQUEST, why)
 }
 
-fn plain(status: StatusCode, why: &'static str) -> Response<Reply> {
+fn plain_answer(status: StatusCode, why: &'static str) -> Response<Reply> {
     let mut response = Response::new(Reply::from(Bytes::from_static(why.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// A refusal; with a time to come back if there is one, in seconds, rounded up to the millisecond.
-fn refused(wait: Micros) -> Response<Reply> {
+/// Builds a refusal, with `Retry-After` in seconds, rounded up to the millisecond, if there is a wait.
+fn refusal(wait: Micros) -> Response<Reply> {
     if wait == 0 {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "");
+        return plain_answer(StatusCode::SERVICE_UNAVAILABLE, "");
     }
-    let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "");
+    let mut response = plain_answer(StatusCode::TOO_MANY_REQUESTS, "");
     let ms = wait.div_ceil(1000);
     if let Ok(value) = HeaderValue::from_str(&format!("{}.{:03}", ms / 1000, ms % 1000)) {
         response.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/node/src/net/clients/listen.rs
+++ b/crates/node/src/net/clients/listen.rs
@@ -11,7 +11,7 @@
         let number = fd.parse::<u16>().ok().filter(|&n| n > 2);
         let number =
             number.ok_or_else(|| StartError::Inherited(format!("{fd:?} is no descriptor from 3 on")))?;
-        // What the crate reads; no other thread runs yet.
+        // The variables that `listenfd` reads. Setting them is sound: no other thread runs yet.
         std::env::remove_var("LISTEN_PID");
         std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
         std::env::set_var("LISTEN_FDS", "1");
--- a/crates/node/src/net/counts.rs
+++ b/crates/node/src/net/counts.rs
@@ -1,4 +1,4 @@
-//! Where the shared counts live: the platform's counter, or Redis.
+//! Stores of the shared quota counts: the platform's counter, or Redis.
 
 pub mod counter;
 pub mod redis;
--- a/crates/node/src/net/counts/redis.rs
+++ b/crates/node/src/net/counts/redis.rs
@@ -12,32 +12,32 @@
 use crate::net::ports::{Core, QuotaStore};
 use crate::strict::FileError;
 
-/// The server that an operator's file names.
+/// The Redis server that the operator's file configures.
 pub fn server(settings: &Settings, file: &Path) -> Result<Server, FileError> {
-    settings.server().map_err(|unfit| FileError::Refused {
+    settings.server().map_err(|invalid| FileError::Refused {
         path: file.to_path_buf(),
-        key: format!("redis.{}", unfit.key),
-        why: unfit.why,
+        key: format!("redis.{}", invalid.key),
+        why: invalid.why,
     })
 }
 
-/// The store on it, which tells the node how calls ended.
+/// Creates the quota store on this server; call outcomes are reported to `core`.
 pub fn store(server: Server, wait: Micros, core: Weak<dyn Core>) -> Rc<RedisStore> {
-    // Danger: fields that an earlier life of this node wrote are not this one's. The standard library draws the
-    // keys of its hashes at random in each process.
+    // Danger: fields written by an earlier incarnation of this node must not be taken for this one's. `RandomState`
+    // has random keys in each process, so the hash serves as a random incarnation number.
     let incarnation = RandomState::new().hash_one(std::process::id());
-    let tell = move |name, outcome, total| {
+    let report = move |name, outcome, total| {
         if let Some(core) = core.upgrade() {
             core.event(Event::CounterReply { name, outcome, total });
         }
     };
-    RedisStore::new(server, wait, incarnation, Rc::new(tell))
+    RedisStore::new(server, wait, incarnation, Rc::new(report))
 }
 
-/// It, as the node sees it.
-pub struct OnRedis(pub Rc<RedisStore>);
+/// The Redis store as the node's `QuotaStore`.
+pub struct RedisQuotaStore(pub Rc<RedisStore>);
 
-impl QuotaStore for OnRedis {
+impl QuotaStore for RedisQuotaStore {
     fn add(&self, name: CountName, amount: f64, keep_for: Micros) {
         self.0.add(name, amount, keep_for);
     }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets round the decisions: a folder for each side, and the node that joins them.
+//! The network sides of the node, a module each: clients, app servers, quota stores, operators, other processes.
 
 pub mod clients;
 pub mod counts;
@@ -11,11 +11,11 @@
 
 /// The node, for this kind of traffic.
 pub mod node {
-    use super::ports::Boxes;
+    use super::ports::EdgeTraffic;
     pub use pinerelay_traffic::node::{FAIL_BEFORE, STOP_BEFORE};
 
     /// One edge node.
-    pub type Node = pinerelay_traffic::node::Node<Boxes>;
-    /// What it is joined to.
-    pub type Peers = pinerelay_traffic::node::Peers<Boxes>;
+    pub type Node = pinerelay_traffic::node::Node<EdgeTraffic>;
+    /// The components that the node calls.
+    pub type Peers = pinerelay_traffic::node::Peers<EdgeTraffic>;
 }
--- a/crates/node/src/net/operators.rs
+++ b/crates/node/src/net/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: whether the node is ready, its figures, and app servers taken out and brought back.
+//! The operators' HTTP interface: readiness, metrics, and exclusion and inclusion of app servers.
 
 pub mod figures;
 
@@ -24,37 +24,37 @@
 
 use crate::net::body::{read_body, BadBody};
 use crate::net::clients::listen::listen;
-use crate::net::operators::figures::Figures;
+use crate::net::operators::figures::Metrics;
 use crate::net::servers::members::Members;
 use crate::net::succession::shared::Shared;
 
-/// So many callers at a time; one descriptor each. With all places taken the oldest caller goes.
-pub const CALLERS: usize = 12;
-/// How long a caller may take. One that finishes no call must not hold its place for good.
-const CALL_WAIT: Duration = Duration::from_secs(4);
-/// No body of a call is longer: it holds one name.
-const BODY_MOST: usize = 4 * 1024;
-/// Heads are short here.
-const HEAD_MOST: usize = 8 * 1024;
-/// Pause of the listener when accepting fails.
+/// Maximum concurrent callers, one descriptor each. A further caller replaces the oldest.
+pub const MAX_CALLERS: usize = 12;
+/// Time limit of a connection. A caller that never completes its call must not occupy a descriptor forever.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum length of a call's body, in bytes: it contains one name.
+const MAX_BODY_BYTES: usize = 4 * 1024;
+/// Maximum length of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What operators may ask.
+/// Answers operators' calls.
 pub struct Ops {
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     members: Rc<Members>,
     shared: Rc<Shared>,
     ready: Cell<bool>,
 }
 
 impl Ops {
-    /// Not ready yet.
-    pub fn new(figures: Rc<Figures>, members: Rc<Members>, shared: Rc<Shared>) -> Rc<Self> {
-        Rc::new(Ops { figures, members, shared, ready: Cell::new(false) })
+    /// Creates the interface; it reports not ready until `set_ready`.
+    pub fn new(metrics: Rc<Metrics>, members: Rc<Members>, shared: Rc<Shared>) -> Rc<Self> {
+        Rc::new(Ops { metrics, members, shared, ready: Cell::new(false) })
     }
 
-    /// Whether this process takes clients.
-    pub fn ready(&self, ready: bool) {
+    /// Sets whether this process accepts clients.
+    pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
     }
 
@@ -63,14 +63,14 @@
         listen(address, 64)
     }
 
-    /// Answers callers for ever.
+    /// Accepts and answers callers; never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     callers.retain(|caller| !caller.is_finished());
-                    if callers.len() >= CALLERS {
+                    if callers.len() >= MAX_CALLERS {
                         callers.pop_front().into_iter().for_each(|oldest| oldest.abort());
                     }
                     let ops = self.clone();
@@ -86,7 +86,7 @@
     }
 
     async fn call(self: Rc<Self>, stream: TcpStream) {
-        // Without it answers are late, not wrong.
+        // A failure only delays answers.
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
             let ops = self.clone();
@@ -94,11 +94,11 @@
         });
         let connection = http1::Builder::new()
             .keep_alive(false)
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_BYTES)
             .header_read_timeout(None)
             .serve_connection(TokioIo::new(stream), service);
-        // A caller that breaks off, or takes too long, has no use for an error.
-        let _ = timeout(CALL_WAIT, connection).await;
+        // A caller that disconnects or takes too long needs no error answer.
+        let _ = timeout(CALL_TIMEOUT, connection).await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
@@ -109,9 +109,9 @@
                 true => Ok("ready\n".to_string()),
                 false => Err((StatusCode::SERVICE_UNAVAILABLE, "this process takes no clients\n".into())),
             }),
-            "/api/telemetry" => get().map(|()| self.figures.text(self.members.figures())),
-            "/api/exclude" => self.hold(&head.method, body, Call::Exclude).await,
-            "/api/include" => self.hold(&head.method, body, Call::Include).await,
+            "/api/telemetry" => get().map(|()| self.metrics.text(self.members.metrics())),
+            "/api/exclude" => self.set_excluded(&head.method, body, Call::Exclude).await,
+            "/api/include" => self.set_excluded(&head.method, body, Call::Include).await,
             _ => Err((StatusCode::NOT_FOUND, "no such call\n".to_string())),
         };
         let (status, text) = match result {
@@ -126,8 +126,8 @@
         response
     }
 
-    /// Takes an app server out, or brings it back. Both may come twice.
-    async fn hold(
+    /// Excludes or includes an app server. Both are idempotent.
+    async fn set_excluded(
         &self,
         method: &Method,
         body: Incoming,
@@ -138,17 +138,17 @@
         }
         let unreadable =
             |_| (StatusCode::BAD_REQUEST, "the body is to hold an app server's id\n".to_string());
-        let body = read_body(body, BODY_MOST).await.map_err(unreadable)?;
+        let body = read_body(body, MAX_BODY_BYTES).await.map_err(unreadable)?;
         let name = std::str::from_utf8(&body).map_err(|_| unreadable(BadBody::Malformed))?.trim();
-        if !self.members.known(name) && !self.shared.holds(name) {
+        if !self.members.known(name) && !self.shared.is_excluded(name) {
             return Err((StatusCode::NOT_FOUND, format!("no app server {name:?} is known here\n")));
         }
-        let told = self.shared.call(name, call);
-        // A call out holds from here on, whatever the others know of it.
-        self.members.reconsider();
-        let kept = told.await;
-        self.members.reconsider();
-        kept.map(|()| "done\n".to_string()).map_err(|error| {
+        let recorded = self.shared.call(name, call);
+        // An exclusion takes effect here at once, before the other processes know of it.
+        self.members.refresh_exclusions();
+        let call_result = recorded.await;
+        self.members.refresh_exclusions();
+        call_result.map(|()| "done\n".to_string()).map_err(|error| {
             let why = match call {
                 Call::Exclude => format!("out here, but the next process does not know of it yet: {error}\n"),
                 Call::Include => format!("call again, it may stay out: {error}\n"),
--- a/crates/node/src/net/operators/figures.rs
+++ b/crates/node/src/net/operators/figures.rs
@@ -1,4 +1,4 @@
-//! The figures that the node reports: counted where things end, written as text when asked for.
+//! The node's metrics: counters, and their Prometheus text.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -11,7 +11,7 @@
 pub enum Result {
     /// Served.
     Completed,
-    /// Refused: a repeat is harmless.
+    /// Rejected: the client may safely repeat it.
     Rejected,
     /// Failed.
     Failed,
@@ -20,17 +20,17 @@
 const RESULTS: [(Result, &str); 3] =
     [(Result::Completed, "completed"), (Result::Rejected, "rejected"), (Result::Failed, "failed")];
 
-/// What came of a class's requests.
+/// Counts of a class's requests, by result and by reason.
 struct Counts {
     class: String,
     results: [u64; 3],
     reasons: [u64; Reason::ALL.len()],
 }
 
-/// What counts up while the process lives.
+/// The counters of this process.
 #[derive(Default)]
-pub struct Figures {
-    /// By class, in the order in which they were first named.
+pub struct Metrics {
+    /// By class, in order of registration.
     classes: RefCell<Vec<Counts>>,
     upstream: Cell<u64>,
     pending: Cell<u64>,
@@ -38,17 +38,17 @@
     reload_errors: Cell<u64>,
 }
 
-/// What the figures tell of the app servers.
+/// The gauges of app servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct MemberFigures {
-    /// On the list.
+pub struct MemberMetrics {
+    /// App servers on the list.
     pub listed: usize,
-    /// Of them, those that get nothing new.
+    /// Listed app servers that get no new requests.
     pub avoided: usize,
 }
 
-/// One request that has been taken and has not ended; dropped, it has.
-pub struct Pending(Rc<Figures>);
+/// Counts one request as pending until it is dropped.
+pub struct Pending(Rc<Metrics>);
 
 impl Drop for Pending {
     fn drop(&mut self) {
@@ -56,27 +56,27 @@
     }
 }
 
-impl Figures {
-    /// Names a class, so that it is reported before its first request.
-    pub fn name(&self, class: &str) {
+impl Metrics {
+    /// Registers a class, so that it is reported before its first request.
+    pub fn register_class(&self, class: &str) {
         let mut classes = self.classes.borrow_mut();
         if !classes.iter().any(|c| c.class == class) {
             classes.push(Counts { class: class.into(), results: [0; 3], reasons: [0; Reason::ALL.len()] });
         }
     }
 
-    /// A request of this class has been taken.
-    pub fn taken(self: &Rc<Self>) -> Pending {
+    /// Counts a request that was accepted; it is pending until the result is dropped.
+    pub fn request_started(self: &Rc<Self>) -> Pending {
         self.pending.set(self.pending.get() + 1);
         Pending(self.clone())
     }
 
-    /// A request of this class has its final answer.
-    pub fn ended(&self, class: &str, result: Result) {
+    /// Counts a request of this class whose result is final.
+    pub fn request_ended(&self, class: &str, result: Result) {
         self.count(class, |counts| counts.results[result as usize] += 1);
     }
 
-    /// A request of this class was rejected or has failed for this reason.
+    /// Counts the reason for which a request of this class was rejected or failed.
     pub fn unserved(&self, class: &str, why: Reason) {
         self.count(class, |counts| counts.reasons[why as usize] += 1);
     }
@@ -87,19 +87,19 @@
         }
     }
 
-    /// An attempt has been written whole to an app server.
+    /// Counts an attempt that was completely written to an app server.
     pub fn sent(&self) {
         self.upstream.set(self.upstream.get() + 1);
     }
 
-    /// A configuration was taken at SIGHUP, or turned down.
-    pub fn reloaded(&self, taken: bool) {
-        let count = if taken { &self.reloads } else { &self.reload_errors };
+    /// Counts a reload by SIGHUP that was applied or refused.
+    pub fn reloaded(&self, applied: bool) {
+        let count = if applied { &self.reloads } else { &self.reload_errors };
         count.set(count.get() + 1);
     }
 
-    /// All of it in the Prometheus text format (version 0.0.4).
-    pub fn text(&self, members: MemberFigures) -> String {
+    /// Returns all metrics in the Prometheus text format (version 0.0.4).
+    pub fn text(&self, members: MemberMetrics) -> String {
         let mut text = String::with_capacity(1024);
         let mut line = |what: &str, kind: &str, value: u64| {
             // Writing to a string does not fail.
@@ -148,19 +148,19 @@
     use super::*;
 
     #[test]
-    fn what_ends_is_counted_under_its_class_and_result() {
-        let figures = Rc::new(Figures::default());
-        figures.name("slip");
-        figures.name("odd\"one");
-        figures.ended("slip", Result::Rejected);
-        figures.ended("slip", Result::Rejected);
-        figures.ended("unknown", Result::Failed);
-        figures.unserved("slip", Reason::Overload);
-        figures.sent();
-        figures.reloaded(true);
-        figures.reloaded(false);
-        let pending = [figures.taken(), figures.taken()];
-        let text = figures.text(MemberFigures { listed: 9, avoided: 2 });
+    fn requests_are_counted_by_class_and_result() {
+        let metrics = Rc::new(Metrics::default());
+        metrics.register_class("slip");
+        metrics.register_class("odd\"one");
+        metrics.request_ended("slip", Result::Rejected);
+        metrics.request_ended("slip", Result::Rejected);
+        metrics.request_ended("unknown", Result::Failed);
+        metrics.unserved("slip", Reason::Overload);
+        metrics.sent();
+        metrics.reloaded(true);
+        metrics.reloaded(false);
+        let pending = [metrics.request_started(), metrics.request_started()];
+        let text = metrics.text(MemberMetrics { listed: 9, avoided: 2 });
         for line in [
             "edge_proxy_downstream_requests_total{lane=\"slip\",result=\"completed\"} 0",
             "edge_proxy_downstream_requests_total{lane=\"slip\",result=\"rejected\"} 2",
@@ -178,6 +178,6 @@
         }
         assert!(!text.contains("unknown"));
         drop(pending);
-        assert!(figures.text(MemberFigures::default()).contains("edge_proxy_pending 0\n"));
+        assert!(metrics.text(MemberMetrics::default()).contains("edge_proxy_pending 0\n"));
     }
 }
--- a/crates/node/src/net/ports.rs
+++ b/crates/node/src/net/ports.rs
@@ -1,4 +1,4 @@
-//! What the edge node passes on: its kind of traffic, and the register of app servers that it is sent to.
+//! Interfaces between the parts of the edge node: its kind of traffic, and the table of app servers.
 
 use std::net::SocketAddr;
 
@@ -13,10 +13,10 @@
     AttemptEvents, Core, MemberSource, Payload, QuotaStore, Traffic, Upstream,
 };
 
-/// The requests of plans' customers to app servers.
-pub struct Boxes;
+/// The traffic of an edge node: HTTP requests from clients, forwarded to app servers.
+pub struct EdgeTraffic;
 
-impl Traffic for Boxes {
+impl Traffic for EdgeTraffic {
     type Forward = Forward;
     type Buffered = Bytes;
     type Streamed = Download;
@@ -30,20 +30,20 @@
     }
 }
 
-/// The one final answer to a request.
-pub type Answer = ports::Answer<Boxes>;
+/// The final answer to a request.
+pub type Answer = ports::Answer<EdgeTraffic>;
 
-/// Where the app servers are.
-pub trait Register {
-    /// What is known of an app server; without a usable address the last one stands. False if there is none.
+/// The table of app servers and their addresses.
+pub trait ServerTable {
+    /// Adds or updates an app server; without a usable address the last one is kept. Returns false if there is none.
     fn set(&self, server: ServerId, address: Option<SocketAddr>, since_ms: u64, up: bool) -> bool;
-    /// Forgets an app server that has been removed.
+    /// Removes an app server.
     fn remove(&self, server: ServerId);
-    /// Forgets all but these.
+    /// Removes all app servers but these.
     fn keep_only(&self, listed: &[ServerId]);
 }
 
-/// What goes on to an app server.
+/// A request to be forwarded to an app server.
 pub struct Forward {
     /// The method.
     pub method: Method,
--- a/crates/node/src/net/servers.rs
+++ b/crates/node/src/net/servers.rs
@@ -1,4 +1,4 @@
-//! The app servers: where they are, the connections kept to each, attempts and their outcomes, probes.
+//! App servers: addresses, pooled connections, attempts and their outcomes, probes.
 
 pub mod backoff;
 pub mod discovery;
@@ -23,98 +23,99 @@
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::node::STOP_BEFORE;
-use crate::net::ports::{AttemptEvents, Boxes, Forward, Register, Upstream};
+use crate::net::ports::{AttemptEvents, EdgeTraffic, Forward, ServerTable, Upstream};
 use crate::net::streamed_body::{buffer_body, Buffered, Download, End};
 use crate::net::watchdog::Watchdog;
 use crate::net::Common;
 use pinerelay_traffic::http::{framed, Connection, OnWritten, SendError, Sent};
 use pinerelay_traffic::pool::Pool;
 
-/// How long an answer that has begun may stand still. Danger: one that says it is longer than it is never ends. It does
-/// harm where app servers pause for longer within a short answer.
-const STALL: Duration = Duration::from_millis(400);
-/// How long a body whose length is not told is waited for, from its head on, before what has come of it is passed on: it
-/// may be a long one, and the first bytes of these are timed.
-const LENGTH_WAIT: Duration = Duration::from_millis(200);
-/// A connection has this long at least to come up.
-const CONNECT_LEAST: Duration = Duration::from_millis(60);
+/// How long an answer that has begun may stall. Danger: an answer that is shorter than its announced length never ends.
+/// Cost: app servers that pause for longer within a short answer are cut off.
+const STALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a body of unknown length is buffered, from its head on, before the part received is passed on: it may be a
+/// long one, and the time to the first bytes of these counts.
+const UNKNOWN_LENGTH_WAIT: Duration = Duration::from_millis(200);
+/// Minimum time allowed for connecting.
+const MIN_CONNECT_TIME: Duration = Duration::from_millis(60);
 /// How long a probe may take.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long before the client gives up an attempt is given up.
-const STOP: Duration = Duration::from_micros(STOP_BEFORE);
+/// How long before the client's deadline an attempt is abandoned.
+const STOP_MARGIN: Duration = Duration::from_micros(STOP_BEFORE);
 
-/// What is known of an app server beside its address.
-struct Named {
+/// What is known of an app server besides its address.
+struct ServerInfo {
     host: HeaderValue,
     since_ms: u64,
 }
 
-/// All app servers that discovery has named.
+/// All app servers that discovery has listed.
 pub struct Servers {
-    pool: Rc<Pool<Named>>,
+    pool: Rc<Pool<ServerInfo>>,
     budget: Rc<Budget>,
     connect_timeout: Duration,
-    keep: Duration,
+    idle_timeout: Duration,
     on_written: OnWritten,
     clock: Rc<Clock>,
-    core: Weak<dyn AttemptEvents<Boxes>>,
-    room: BodyMemoryPool,
+    core: Weak<dyn AttemptEvents<EdgeTraffic>>,
+    body_pool: BodyMemoryPool,
     watchdog: Rc<Watchdog>,
-    me: Weak<Servers>,
+    weak_self: Weak<Servers>,
 }
 
-/// A connection to an app server, and of which generation.
-struct Line {
+/// A connection to an app server, and the generation of its pool entry.
+struct AcquiredConnection {
     connection: Connection,
     generation: u64,
-    /// For how long it stood idle, if it was kept.
+    /// How long it had been idle, if it came from the pool.
     idle: Option<Duration>,
 }
 
-/// What came back on a connection.
+/// The answer received on a connection.
 enum Exchanged {
-    /// A whole answer: its outcome, its body if it served, and whether the connection can be kept.
-    Whole(Outcome, Option<Bytes>, bool),
-    /// The beginning of a long answer that serves.
+    /// A complete answer: its outcome, its body if the outcome is `Ok`, and whether the connection can be reused.
+    Full(Outcome, Option<Bytes>, bool),
+    /// The first part of a long answer with status 200, and the rest of its body.
     Long(Bytes, Incoming),
 }
 
-enum NoLine {
-    /// No connection came up, or the app server wants nothing new.
+/// Why there is no connection.
+enum AcquireError {
+    /// Connecting failed, or the app server accepts no new requests.
     Failed,
-    /// No descriptor was to be had.
+    /// No file descriptor was available.
     Shed,
 }
 
 impl Servers {
-    /// No app servers yet. Idle connections are dropped at half the time after which the peer may do so: a
-    /// request that crosses the peer's close could not be told from one that ran.
+    /// Creates an empty table. Idle connections are dropped at half the time after which the peer may do so: a request
+    /// that crosses the peer's close could not be distinguished from one that ran.
     pub fn new(
-        Common { budget, body_memory: room, watchdog }: Common,
+        Common { budget, body_memory: body_pool, watchdog }: Common,
         connect_timeout: Micros,
         conn_idle: Micros,
         on_written: OnWritten,
         clock: Rc<Clock>,
-        core: Weak<dyn AttemptEvents<Boxes>>,
+        core: Weak<dyn AttemptEvents<EdgeTraffic>>,
     ) -> Rc<Self> {
         let or = |value: Micros, default| if value > 0 { value } else { default };
         let pool = Pool::new(budget.clone());
-        Rc::new_cyclic(|me: &Weak<Servers>| Servers {
+        Rc::new_cyclic(|weak_self: &Weak<Servers>| Servers {
             pool,
             budget,
             connect_timeout: Duration::from_micros(or(connect_timeout, 250_000)),
-            keep: Duration::from_micros(or(conn_idle, 10_000_000) / 2),
+            idle_timeout: Duration::from_micros(or(conn_idle, 10_000_000) / 2),
             on_written,
             clock,
             core,
-            room,
+            body_pool,
             watchdog,
-            me: me.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// How many connections stand idle.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.pool.idle()
     }
@@ -124,9 +125,9 @@
         self.pool.close_an_idle()
     }
 
-    /// Makes one attempt and tells how it ended, as the protocol's table has it. With the body, if served.
+    /// Makes one attempt. Returns its outcome by the protocol's table, and the body of a buffered answer.
     #[expect(clippy::too_many_lines, reason = "not split yet: docs/ROADMAP.md, Gateway 13")]
-    async fn outcome_of(
+    async fn attempt_outcome(
         &self,
         (id, number): (&RequestId, usize),
         server: ServerId,
@@ -138,68 +139,71 @@
         let mut fresh_only = false;
         let mut request = None;
         loop {
-            let line = match timeout_at(until, self.line(server, fresh_only, until - Instant::now())).await {
-                Ok(Ok(line)) => line,
-                // Nothing has been written.
-                Err(_) | Ok(Err(NoLine::Failed)) => return (Outcome::ConnectFailed, None),
-                Ok(Err(NoLine::Shed)) => return (Outcome::NotSent, None),
-            };
+            let acquired =
+                match timeout_at(until, self.acquire(server, fresh_only, until - Instant::now())).await {
+                    Ok(Ok(acquired)) => acquired,
+                    // Nothing has been written.
+                    Err(_) | Ok(Err(AcquireError::Failed)) => return (Outcome::ConnectFailed, None),
+                    Ok(Err(AcquireError::Shed)) => return (Outcome::NotSent, None),
+                };
             if self.watchdog.behind() {
-                // Danger: what forbids this app server may lie unread.
+                // Danger: after a stall, a message that forbids this app server may still be unread.
                 self.watchdog.caught_up().await;
-                if !self.pool.is_current(server, line.generation) {
+                if !self.pool.is_current(server, acquired.generation) {
                     return (Outcome::ConnectFailed, None);
                 }
             }
-            let left = match upload {
+            let remaining = match upload {
                 None => stop.saturating_sub(self.clock.now()) / 1000,
                 Some(upload) => upload.wait.as_millis() as u64,
             };
-            let Some(host) = self.pool.more(server, |named| named.host.clone()) else {
+            let Some(host) = self.pool.more(server, |info| info.host.clone()) else {
                 return (Outcome::ConnectFailed, None);
             };
             let message = match request.take() {
                 Some(message) => message,
                 None => {
-                    // An earlier attempt has taken of the body: this one can't be made.
+                    // An earlier attempt has consumed part of the body: this one can't be made.
                     let Some(body) = forward.body.body(&self.core, id, number) else {
                         return (Outcome::NotSent, None);
                     };
-                    build(forward, body, host, left)
+                    build_request(forward, body, host, remaining)
                 }
             };
-            let Line { mut connection, generation, idle } = line;
-            let heard = connection.answer_timing();
+            let AcquiredConnection { mut connection, generation, idle } = acquired;
+            let timing = connection.answer_timing();
             let answer = tokio::select! {
                 biased;
                 answer = self.exchange(&mut connection, message) => answer,
-                // Danger: whether the last byte went out is not known here, so it may have run.
-                () = forward.body.wait_until_due(until, STOP) => return (Outcome::TimedOut, None),
-                _ = heard.stalled(STALL) => Err(SendError::BadAnswer),
+                // Danger: the last byte may have been written, so the request may have run.
+                () = forward.body.wait_until_due(until, STOP_MARGIN) => return (Outcome::TimedOut, None),
+                _ = timing.stalled(STALL_TIMEOUT) => Err(SendError::BadAnswer),
             };
             if upload.is_some_and(|upload| upload.is_broken()) {
-                // The client broke it off: it has not run, and the app server has done nothing wrong.
+                // The client aborted the upload: the request has not run, and the app server is not at fault.
                 return (Outcome::NotSent, None);
             }
             if !matches!(answer, Err(SendError::NotWritten(_))) {
-                self.pool.reuse.ended(idle, matches!(answer, Err(SendError::MaybeWritten)) && !heard.begun());
+                self.pool
+                    .reuse
+                    .ended(idle, matches!(answer, Err(SendError::MaybeWritten)) && !timing.begun());
             }
             match answer {
-                Ok(Exchanged::Whole(outcome, body, reusable)) => {
-                    // Danger: an answer that came before the request was whole leaves the rest of it on the line.
+                Ok(Exchanged::Full(outcome, body, reusable)) => {
+                    // Danger: a connection whose answer came before the request was complete can't be reused.
                     if reusable && upload.is_none_or(|upload| upload.is_complete()) {
-                        self.pool.give_back(server, connection, generation, self.keep);
+                        self.pool.give_back(server, connection, generation, self.idle_timeout);
                     }
                     return (outcome, body);
                 }
                 Ok(Exchanged::Long(first, rest)) => {
-                    let (answer, ended) = Download::new(first, rest, self.room.reserve_stream());
+                    let (answer, ended) = Download::new(first, rest, self.body_pool.reserve_stream());
                     if !self.core.upgrade().is_some_and(|core| core.answer_started(id, number, answer)) {
                         return (Outcome::Cancelled, None);
                     }
                     return match ended.await {
                         Ok(End::Complete) => {
-                            self.pool.give_back(server, connection, generation, self.keep);
+                            self.pool.give_back(server, connection, generation, self.idle_timeout);
                             (Outcome::Ok, None)
                         }
                         Ok(End::Broken) => (Outcome::Reset, None),
@@ -207,8 +211,8 @@
                         Err(_) => (Outcome::NotSent, None),
                     };
                 }
-                // Not a byte was written to a kept connection that turned out closed: this is still the same
-                // attempt, on a new connection.
+                // No byte was written, as the pooled connection turned out closed: the same attempt continues on a new
+                // connection.
                 Err(SendError::NotWritten(message)) if idle.is_some() => {
                     request = Some(*message);
                     fresh_only = true;
@@ -224,14 +228,14 @@
                     return (Outcome::ConnectFailed, None);
                 }
                 Err(SendError::MaybeWritten) => return (Outcome::Reset, None),
-                // Danger: any app server may spoil an answer. It is alive and no worse than others, and an
-                // ejection would take it from all.
+                // Danger: any app server may send a malformed answer. It is alive and no worse than others, and ejecting it
+                // would take it from all requests.
                 Err(SendError::BadAnswer) => return (Outcome::Error, None),
             }
         }
     }
 
-    /// Writes a request and reads its whole answer; tells too whether the connection can be kept.
+    /// Sends a request and reads its answer, whole or up to the first part of a long one.
     async fn exchange(
         &self,
         connection: &mut Connection,
@@ -242,14 +246,15 @@
             return Err(SendError::BadAnswer);
         }
         let (head, body) = response.into_parts();
-        let told = body.size_hint().exact().is_some();
-        let until = (!told && head.status == StatusCode::OK).then(|| Instant::now() + LENGTH_WAIT);
-        let (body, end) = match buffer_body(body, BODY_MOST, until, &self.room).await {
+        let length_known = body.size_hint().exact().is_some();
+        let until =
+            (!length_known && head.status == StatusCode::OK).then(|| Instant::now() + UNKNOWN_LENGTH_WAIT);
+        let (body, end) = match buffer_body(body, BODY_MOST, until, &self.body_pool).await {
             Ok(Buffered::Complete(body)) => (Some(body), BodyEnd::Complete),
             Ok(Buffered::Partial(first, rest)) if head.status == StatusCode::OK => {
                 return Ok(Exchanged::Long(first, rest));
             }
-            // Of any other answer the head tells all, and the rest stays unread.
+            // For any other answer the head is sufficient, and the rest stays unread.
             Ok(Buffered::Partial(..)) => (None, BodyEnd::Unusable),
             Err(BadBody::Broken) => (None, BodyEnd::Broken),
             Err(_) => (None, BodyEnd::Unusable),
@@ -258,52 +263,61 @@
         if outcome == Outcome::Error && end == BodyEnd::Unusable {
             return Err(SendError::BadAnswer);
         }
-        Ok(Exchanged::Whole(outcome, body.filter(|_| outcome == Outcome::Ok), end == BodyEnd::Complete))
+        Ok(Exchanged::Full(outcome, body.filter(|_| outcome == Outcome::Ok), end == BodyEnd::Complete))
     }
 
-    /// A kept connection or a new one.
-    async fn line(&self, server: ServerId, fresh_only: bool, left: Duration) -> Result<Line, NoLine> {
-        // Danger: a machine that has vanished must not take the time in which another could still be asked.
-        let patience = self.connect_timeout.min((left / 4).max(CONNECT_LEAST));
-        let reach = self.pool.reach(server, |_| !fresh_only, |_| ()).ok_or(NoLine::Failed)?;
+    /// Takes a connection from the pool or opens a new one.
+    async fn acquire(
+        &self,
+        server: ServerId,
+        fresh_only: bool,
+        remaining: Duration,
+    ) -> Result<AcquiredConnection, AcquireError> {
+        // Danger: connecting to a vanished machine must not use up the time for an attempt at another.
+        let connect_limit = self.connect_timeout.min((remaining / 4).max(MIN_CONNECT_TIME));
+        let reach = self.pool.reach(server, |_| !fresh_only, |_| ()).ok_or(AcquireError::Failed)?;
         let (address, generation) = (reach.address, reach.generation);
         if let Some((connection, idle)) = reach.kept {
-            return Ok(Line { connection, generation, idle: Some(idle.age()) });
+            return Ok(AcquiredConnection { connection, generation, idle: Some(idle.age()) });
         }
         let connect = async {
-            // What finds no place within the connect time-out is shed.
+            // Without a free descriptor within the connect timeout the attempt is shed.
             let slot = self.pool.slot().await;
-            Connection::open(address, slot, self.on_written.clone()).await.map_err(|e| is_descriptors(&e))
+            Connection::open(address, slot, self.on_written.clone())
+                .await
+                .map_err(|e| is_descriptor_limit(&e))
         };
-        match timeout(patience, connect).await {
+        match timeout(connect_limit, connect).await {
             Ok(Ok(connection)) => {
-                // Danger: the list may have changed while the connection came up.
+                // Danger: the list may have changed while connecting.
                 self.pool
                     .is_current(server, generation)
-                    .then_some(Line { connection, generation, idle: None })
-                    .ok_or(NoLine::Failed)
+                    .then_some(AcquiredConnection { connection, generation, idle: None })
+                    .ok_or(AcquireError::Failed)
             }
-            Ok(Err(true)) => Err(NoLine::Shed),
-            Err(_) if self.budget.exhausted() => Err(NoLine::Shed),
-            Ok(Err(false)) | Err(_) => Err(NoLine::Failed),
+            Ok(Err(true)) => Err(AcquireError::Shed),
+            Err(_) if self.budget.exhausted() => Err(AcquireError::Shed),
+            Ok(Err(false)) | Err(_) => Err(AcquireError::Failed),
         }
     }
 
-    async fn probed(&self, server: ServerId) -> Outcome {
-        let Some(host) = self.pool.more(server, |named| named.host.clone()) else {
+    async fn run_probe(&self, server: ServerId) -> Outcome {
+        let Some(host) = self.pool.more(server, |info| info.host.clone()) else {
             return Outcome::ConnectFailed;
         };
-        let Ok(Line { mut connection, generation, .. }) = self.line(server, false, PROBE_WAIT).await else {
+        let Ok(AcquiredConnection { mut connection, generation, .. }) =
+            self.acquire(server, false, PROBE_TIMEOUT).await
+        else {
             return Outcome::ConnectFailed;
         };
         let mut request = Request::new(Bytes::new().into());
         *request.uri_mut() = Uri::from_static("/alive");
         request.headers_mut().insert(HOST, host);
-        match timeout(PROBE_WAIT, self.exchange(&mut connection, request)).await {
+        match timeout(PROBE_TIMEOUT, self.exchange(&mut connection, request)).await {
             Ok(Ok(Exchanged::Long(..))) => Outcome::Error,
-            Ok(Ok(Exchanged::Whole(outcome, _, reusable))) => {
+            Ok(Ok(Exchanged::Full(outcome, _, reusable))) => {
                 if reusable {
-                    self.pool.give_back(server, connection, generation, self.keep);
+                    self.pool.give_back(server, connection, generation, self.idle_timeout);
                 }
                 outcome
             }
@@ -315,7 +329,7 @@
     }
 }
 
-impl Upstream<Boxes> for Servers {
+impl Upstream<EdgeTraffic> for Servers {
     fn attempt(
         &self,
         id: RequestId,
@@ -324,10 +338,10 @@
         forward: Rc<Forward>,
         stop: Micros,
     ) -> AbortHandle {
-        let (servers, core) = (self.me.clone(), self.core.clone());
+        let (servers, core) = (self.weak_self.clone(), self.core.clone());
         let task = tokio::task::spawn_local(async move {
             let Some(servers) = servers.upgrade() else { return };
-            let (outcome, body) = servers.outcome_of((&id, number), server, &forward, stop).await;
+            let (outcome, body) = servers.attempt_outcome((&id, number), server, &forward, stop).await;
             if let Some(core) = core.upgrade() {
                 core.attempt_ended(&id, number, outcome, body);
             }
@@ -335,16 +349,16 @@
         task.abort_handle()
     }
 
-    /// The decisions know of every limit here.
+    /// Always true: the controller knows every limit that applies here.
     fn would_retry(&self, _: &Forward) -> bool {
         true
     }
 
     fn probe(&self, server: ServerId) {
-        let (servers, core) = (self.me.clone(), self.core.clone());
+        let (servers, core) = (self.weak_self.clone(), self.core.clone());
         tokio::task::spawn_local(async move {
             let Some(servers) = servers.upgrade() else { return };
-            let outcome = servers.probed(server).await;
+            let outcome = servers.run_probe(server).await;
             if let Some(core) = core.upgrade() {
                 core.event(Event::Probed { server, outcome });
             }
@@ -352,13 +366,13 @@
     }
 }
 
-impl Register for Servers {
+impl ServerTable for Servers {
     fn set(&self, id: ServerId, address: Option<SocketAddr>, since_ms: u64, up: bool) -> bool {
-        let first = |address| Named { host: host_header(address), since_ms };
-        self.pool.set(id, address, up, first, |named, address| {
-            let another = named.since_ms != since_ms;
-            *named = Named { host: host_header(address), since_ms };
-            another
+        let first = |address| ServerInfo { host: host_header(address), since_ms };
+        self.pool.set(id, address, up, first, |info, address| {
+            let restarted = info.since_ms != since_ms;
+            *info = ServerInfo { host: host_header(address), since_ms };
+            restarted
         })
     }
 
@@ -376,13 +390,13 @@
 }
 
 /// Whether a connection failed because this process may hold no more descriptors.
-fn is_descriptors(error: &std::io::Error) -> bool {
+fn is_descriptor_limit(error: &std::io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
 }
 
-fn build(forward: &Forward, body: Sent, host: HeaderValue, left_ms: u64) -> Request<Sent> {
+fn build_request(forward: &Forward, body: Sent, host: HeaderValue, left_ms: u64) -> Request<Sent> {
     let mut request = Request::new(body);
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
--- a/crates/node/src/net/servers/backoff.rs
+++ b/crates/node/src/net/servers/backoff.rs
@@ -1,39 +1,38 @@
-//! How long to stay away from discovery after calls that it did not serve. No I/O and no clock.
+//! Backoff for calls to discovery that failed or were rejected. No I/O and no clock.
 
 use std::time::Duration;
 
 use mountbend::measure::uniform;
 
-/// The mean pause after the first call that was not served, and at most, in seconds. The platform's service can take one
-/// call of every node in 2 to 8 s, at any size of the fleet: so a fleet that comes back at these paces is served.
-const FIRST: f64 = 4.0;
-const MOST: f64 = 8.0;
+/// The initial and the maximum mean pause, in seconds. The platform's discovery can serve one call from every node in 2
+/// to 8 s, at any fleet size, so a whole fleet that retries with these pauses is served.
+const FIRST_MEAN_SECONDS: f64 = 4.0;
+const MAX_MEAN_SECONDS: f64 = 8.0;
 
-/// Pauses that double from call to call, each drawn between half of its mean and half as much again. Danger: a
-/// fleet that has lost its lists calls all at once, and a service that serves one call a node in some seconds works on
-/// calls that nobody waits for any more as long as the others come again sooner than that: then no node hears anything.
-/// It does harm where
-/// a single call fails by chance: that node hears up to 6 s late.
+/// Exponential backoff: the mean doubles with each failed call, and each pause is uniform between 0.5 and 1.5 times the
+/// mean. Danger: a fleet that has lost its lists calls all at once. If nodes retry sooner than discovery can serve one
+/// call per node, it spends its time on calls that have already timed out, and no node gets a list. Cost: after a
+/// single random failure a node gets its list up to 6 s late.
 pub struct Backoff {
     random: u64,
     mean: f64,
 }
 
 impl Backoff {
-    /// No call has failed yet. Nodes have different seeds, or they would come back in step.
+    /// Starts without a failed call. Seeds must differ between nodes, or their retries synchronise.
     pub fn new(seed: u64) -> Self {
-        Backoff { random: seed, mean: FIRST }
+        Backoff { random: seed, mean: FIRST_MEAN_SECONDS }
     }
 
-    /// A call was served: the next one that is not is the first again.
+    /// Resets the pause after a successful call.
     pub fn served(&mut self) {
-        self.mean = FIRST;
+        self.mean = FIRST_MEAN_SECONDS;
     }
 
-    /// How long to wait after a call that was not served.
+    /// Returns the pause after a failed call, and doubles the mean of the next.
     pub fn pause(&mut self) -> Duration {
         let mean = self.mean;
-        self.mean = (mean * 2.0).min(MOST);
+        self.mean = (mean * 2.0).min(MAX_MEAN_SECONDS);
         Duration::from_secs_f64(mean * (0.5 + uniform(&mut self.random)))
     }
 }
@@ -45,14 +44,19 @@
     use super::*;
 
     const NODES: usize = 100;
-    /// How long a node waits for an answer, in seconds.
-    const WAIT: f64 = 2.0;
+    /// Timeout of a call, in seconds.
+    const CALL_TIMEOUT_SECONDS: f64 = 2.0;
 
-    /// When each of a hundred nodes that call at once has its list, at a service that takes calls in turn, serves one of
-    /// each node in `all` seconds, turns away what would wait for longer than `line`, and does not learn of callers that
-    /// have given up. In seconds, in order; a node that has none after 60 s is left out.
-    fn heard(all: f64, line: f64, mut pauses: Vec<Box<dyn FnMut() -> f64>>) -> Vec<f64> {
-        let (mut free_at, mut heard) = (0.0_f64, Vec::new());
+    /// Simulates a hundred nodes that call discovery at once, and returns the sorted times, in seconds, at which they get
+    /// their lists; a node without one after 60 s is left out. The service handles calls in order of arrival, one per node
+    /// in `fleet_seconds`, rejects calls that would queue for longer than `max_queue_seconds`, and also serves calls whose
+    /// caller has timed out.
+    fn list_times(
+        fleet_seconds: f64,
+        max_queue_seconds: f64,
+        mut pauses: Vec<Box<dyn FnMut() -> f64>>,
+    ) -> Vec<f64> {
+        let (mut free_at, mut received_at) = (0.0_f64, Vec::new());
         let mut calls: BTreeMap<(u64, usize), ()> =
             (0..NODES).map(|node| ((node as u64, node), ())).collect();
         while let Some(((at, node), ())) = calls.pop_first() {
@@ -60,24 +64,24 @@
             if now > 60.0 {
                 break;
             }
-            let wait = (free_at - now).max(0.0) + all / NODES as f64;
-            let again = if wait > line {
+            let wait = (free_at - now).max(0.0) + fleet_seconds / NODES as f64;
+            let again = if wait > max_queue_seconds {
                 now
             } else {
                 free_at = now + wait;
-                if wait <= WAIT {
-                    heard.push(now + wait);
+                if wait <= CALL_TIMEOUT_SECONDS {
+                    received_at.push(now + wait);
                     continue;
                 }
-                now + WAIT
+                now + CALL_TIMEOUT_SECONDS
             };
             calls.insert((((again + pauses[node]()) * 1e6) as u64, node), ());
         }
-        heard.sort_by(f64::total_cmp);
-        heard
+        received_at.sort_by(f64::total_cmp);
+        received_at
     }
 
-    fn backoffs(seed: u64) -> Vec<Box<dyn FnMut() -> f64>> {
+    fn backoff_pauses(seed: u64) -> Vec<Box<dyn FnMut() -> f64>> {
         let one = |node: usize| {
             let mut backoff = Backoff::new(seed * 1_000 + node as u64);
             Box::new(move || backoff.pause().as_secs_f64()) as Box<dyn FnMut() -> f64>
@@ -86,27 +90,27 @@
     }
 
     #[test]
-    fn a_fleet_that_lost_its_lists_has_them_again_soon() {
-        // Lines as long as a node waits, and lines longer than anyone waits.
+    fn backoff_lets_the_whole_fleet_recover_its_lists() {
+        // Queues as long as the call timeout, and longer ones.
         for (all, line) in [(2.0, 2.0), (8.0, 2.0), (4.0, 6.0), (8.0, 6.0)] {
             for seed in 1..=5 {
-                let heard = heard(all, line, backoffs(seed));
-                let last = heard.last().copied().unwrap_or_default();
-                assert_eq!(heard.len(), NODES, "{all} s for all, a line of {line} s, seed {seed}");
+                let received_at = list_times(all, line, backoff_pauses(seed));
+                let last = received_at.last().copied().unwrap_or_default();
+                assert_eq!(received_at.len(), NODES, "{all} s for all, a line of {line} s, seed {seed}");
                 assert!(last < 4.0 * all + 4.0, "{all} s for all, a line of {line} s, seed {seed}: {last} s");
             }
         }
     }
 
     #[test]
-    fn the_model_shows_the_loss_where_nodes_come_again_at_once() {
-        let hasty = || Box::new(|| 0.16) as Box<dyn FnMut() -> f64>;
-        let heard = heard(8.0, 6.0, (0..NODES).map(|_| hasty()).collect());
-        assert!(heard.len() < NODES / 2, "{} of {NODES} within a minute", heard.len());
+    fn the_simulation_shows_starvation_with_immediate_retries() {
+        let constant_pause = || Box::new(|| 0.16) as Box<dyn FnMut() -> f64>;
+        let received_at = list_times(8.0, 6.0, (0..NODES).map(|_| constant_pause()).collect());
+        assert!(received_at.len() < NODES / 2, "{} of {NODES} within a minute", received_at.len());
     }
 
     #[test]
-    fn what_was_served_is_forgiven() {
+    fn a_served_call_resets_the_pause() {
         let mut backoff = Backoff::new(7);
         let long = (0..4).map(|_| backoff.pause()).max().unwrap_or_default();
         assert!(long > Duration::from_secs(4) && long <= Duration::from_secs(12), "{long:?}");
--- a/crates/node/src/net/servers/discovery.rs
+++ b/crates/node/src/net/servers/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of app servers as last known, a watch that never ends, and single fetches.
+//! Discovery client: starts from the configured list of app servers, watches for changes, and fetches the list on demand.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -20,23 +20,23 @@
 use crate::net::servers::members::Members;
 use pinerelay_traffic::http::Connection;
 
-/// How long a watch may wait, and how much later its answer counts as lost. Danger: a change counts as told
-/// 6 s after it at the latest, arrived or not, so a watch on a dead connection is given up sooner.
+/// How long discovery may hold a watch open, and how much later it times out. Danger: a node is taken to know of a change
+/// 6 s after it, received or not, so a watch on a dead connection must time out sooner.
 const WAIT_MS: u64 = 4_000;
-const GRACE: Duration = Duration::from_millis(1_000);
-/// How long a fetch of the whole list may take.
+const WATCH_GRACE: Duration = Duration::from_millis(1_000);
+/// How long a fetch of the complete list may take.
 const FETCH_WAIT: Duration = Duration::from_secs(2);
-/// How long the first list of a new agent may take: what it knows counts as told 4 s after the move.
+/// How long the first list of a new agent may take: the node is taken to know its content 4 s after the move.
 const FIRST_WAIT: Duration = Duration::from_millis(500);
-/// Pause after a watch that failed, from the first to the last; a watch goes on only within 200 ms.
+/// Initial and maximum pause after a failed watch; a watch may be resumed only within 200 ms.
 const PAUSE: Duration = Duration::from_millis(20);
-const PAUSE_MOST: Duration = Duration::from_millis(160);
-/// No list is this long.
-const LIST_MOST: usize = 8 * 1024 * 1024;
+const MAX_PAUSE: Duration = Duration::from_millis(160);
+/// Maximum length of a list, in bytes.
+const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a call to discovery failed.
 enum Failure {
-    Silent,
+    TimedOut,
     Broken,
     Status(StatusCode),
     Malformed(serde_json::Error),
@@ -45,7 +45,7 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Silent => f.write_str("no answer in time"),
+            Failure::TimedOut => f.write_str("no answer in time"),
             Failure::Broken => f.write_str("the connection failed"),
             Failure::Status(status) => write!(f, "answer {status}"),
             Failure::Malformed(error) => write!(f, "malformed list: {error}"),
@@ -53,56 +53,56 @@
     }
 }
 
-/// How long to wait before the next call. Danger: where all nodes ask one service that has no time for them, calls at
-/// an agent's pace keep it from serving any.
-fn away(backoff: Option<&RefCell<Backoff>>, failure: &Failure, pause: &mut Duration) -> Duration {
+/// Returns the pause before the next call. Danger: if all nodes share one overloaded service, retries at the pace meant for
+/// a local agent keep it from serving any node.
+fn retry_pause(backoff: Option<&RefCell<Backoff>>, failure: &Failure, pause: &mut Duration) -> Duration {
     match (backoff, failure) {
         (Some(backoff), Failure::Status(_)) => backoff.borrow_mut().pause(),
-        _ => std::mem::replace(pause, (*pause * 2).min(PAUSE_MOST)),
+        _ => std::mem::replace(pause, (*pause * 2).min(MAX_PAUSE)),
     }
 }
 
-/// Discovery as this node sees it.
+/// Client of the discovery service.
 pub struct Discovery {
     address: Cell<SocketAddr>,
     members: Rc<Members>,
-    /// The newest version taken in. Versions are an agent's own; none is known of a new one.
+    /// The newest version applied. Versions differ between agents, so there is none after a move to a new one.
     index: Cell<Option<u64>>,
-    heard: Cell<bool>,
+    complete_received: Cell<bool>,
     watcher: RefCell<Option<AbortHandle>>,
-    /// For how long to stay away where all nodes ask one service; none where an agent answers for itself.
+    /// Backoff for a service that all nodes share; `None` where each node has an agent of its own.
     backoff: Option<RefCell<Backoff>>,
-    me: Weak<Discovery>,
+    weak_self: Weak<Discovery>,
 }
 
 impl Discovery {
-    /// Discovery at this address; what it tells goes to these members. With a back-off, a call that is answered by
-    /// an error is taken for one that a service which all nodes share had no time for.
+    /// Creates the client of discovery at this address; lists are applied to `members`. With a backoff, an error status is
+    /// taken as overload of a service that all nodes share.
     pub fn new(address: SocketAddr, members: Rc<Members>, backoff: Option<Backoff>) -> Rc<Self> {
-        Rc::new_cyclic(|me| Discovery {
+        Rc::new_cyclic(|weak_self| Discovery {
             address: Cell::new(address),
             members,
             index: Cell::default(),
-            heard: Cell::default(),
+            complete_received: Cell::default(),
             watcher: RefCell::default(),
             backoff: backoff.map(RefCell::new),
-            me: me.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Takes in the list that the node had before its start, and watches from there on for ever.
+    /// Applies the list from the configuration, and starts to watch from its version.
     pub fn start(&self, known: List) {
-        self.take(known, ListKind::Stale);
+        self.apply(known, ListKind::Stale);
         self.spawn();
     }
 
-    /// Whether the whole list has been heard of the agent.
-    pub fn heard(&self) -> bool {
-        self.heard.get()
+    /// Whether a complete list has been received from the agent.
+    pub fn has_complete_list(&self) -> bool {
+        self.complete_received.get()
     }
 
-    /// Goes on with the agent at this address. Danger: its versions have nothing to do with the old one's, so
-    /// it is asked for the whole list first, and what the old one still says is dropped with its watch.
+    /// Switches to the agent at this address. Danger: its versions are unrelated to the old agent's, so the complete list is
+    /// requested first, and the old agent's watch is aborted.
     pub fn move_to(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.index.set(None);
@@ -111,7 +111,7 @@
     }
 
     fn spawn(&self) {
-        let Some(discovery) = self.me.upgrade() else { return };
+        let Some(discovery) = self.weak_self.upgrade() else { return };
         let task = tokio::task::spawn_local(async move { discovery.watch().await });
         if let Some(old) = self.watcher.replace(Some(task.abort_handle())) {
             old.abort();
@@ -124,7 +124,7 @@
             let (path, wait) = match self.index.get() {
                 Some(index) => (
                     format!("/discovery/hosts?after={index}&wait_ms={WAIT_MS}"),
-                    Duration::from_millis(WAIT_MS) + GRACE,
+                    Duration::from_millis(WAIT_MS) + WATCH_GRACE,
                 ),
                 None => ("/discovery/hosts".into(), FIRST_WAIT),
             };
@@ -133,15 +133,15 @@
                 Ok(list) => {
                     (pause, failing) = (PAUSE, false);
                     self.backoff.iter().for_each(|b| b.borrow_mut().served());
-                    let nothing = list.endpoints.is_empty() && !list.snapshot && self.index.get().is_some();
-                    let whole = list.snapshot || self.index.get().is_none();
-                    let kind = if whole { ListKind::Complete } else { ListKind::Changes };
-                    // Danger: a fetch may have brought a newer list meanwhile; older changes would undo it.
-                    let old = kind == ListKind::Changes && Some(list.index) < self.index.get();
-                    if !nothing && !old {
-                        self.take(list, kind);
+                    let unchanged = list.endpoints.is_empty() && !list.snapshot && self.index.get().is_some();
+                    let complete = list.snapshot || self.index.get().is_none();
+                    let kind = if complete { ListKind::Complete } else { ListKind::Changes };
+                    // Danger: a fetch may have applied a newer list meanwhile; older changes would undo it.
+                    let outdated = kind == ListKind::Changes && Some(list.index) < self.index.get();
+                    if !unchanged && !outdated {
+                        self.apply(list, kind);
                     } else if begun.elapsed() < PAUSE {
-                        // Danger: a watch that does not wait would keep the core busy.
+                        // Danger: a watch that returns at once would keep the CPU busy.
                         tokio::time::sleep(PAUSE).await;
                     }
                 }
@@ -150,7 +150,7 @@
                         eprintln!("pinerelay: discovery: {failure}; trying on");
                     }
                     connection = None;
-                    tokio::time::sleep(away(self.backoff.as_ref(), &failure, &mut pause)).await;
+                    tokio::time::sleep(retry_pause(self.backoff.as_ref(), &failure, &mut pause)).await;
                 }
             }
         }
@@ -162,54 +162,54 @@
         path: &str,
         wait: Duration,
     ) -> Result<List, Failure> {
-        timeout(wait, self.exchange(connection, path)).await.unwrap_or(Err(Failure::Silent))
+        timeout(wait, self.exchange(connection, path)).await.unwrap_or(Err(Failure::TimedOut))
     }
 
     async fn exchange(&self, connection: &mut Option<Connection>, path: &str) -> Result<List, Failure> {
-        let mut line = match connection.take().filter(Connection::usable) {
-            Some(line) => line,
+        let mut active = match connection.take().filter(Connection::usable) {
+            Some(active) => active,
             None => Connection::open(self.address.get(), (), None).await.map_err(|_| Failure::Broken)?,
         };
         let mut request = Request::new(Bytes::new().into());
         *request.uri_mut() = path.parse::<Uri>().map_err(|_| Failure::Broken)?;
         let host = HeaderValue::from_str(&self.address.get().to_string()).map_err(|_| Failure::Broken)?;
         request.headers_mut().insert(HOST, host);
-        let response = line.send(request).await.map_err(|_| Failure::Broken)?;
+        let response = active.send(request).await.map_err(|_| Failure::Broken)?;
         let status = response.status();
-        let body = read_body(response.into_body(), LIST_MOST).await.map_err(|_| Failure::Broken)?;
+        let body = read_body(response.into_body(), MAX_LIST_BYTES).await.map_err(|_| Failure::Broken)?;
         if status != StatusCode::OK {
             return Err(Failure::Status(status));
         }
-        *connection = Some(line);
+        *connection = Some(active);
         serde_json::from_slice(&body).map_err(Failure::Malformed)
     }
 
-    fn take(&self, list: List, kind: ListKind) {
+    fn apply(&self, list: List, kind: ListKind) {
         self.index.set(Some(list.index));
-        self.heard.set(self.heard.get() || kind == ListKind::Complete);
-        self.members.take(kind, list.endpoints);
+        self.complete_received.set(self.complete_received.get() || kind == ListKind::Complete);
+        self.members.apply(kind, list.endpoints);
     }
 }
 
 impl MemberSource for Discovery {
     fn fetch(&self) {
-        let Some(discovery) = self.me.upgrade() else { return };
+        let Some(discovery) = self.weak_self.upgrade() else { return };
         let address = self.address.get();
         tokio::task::spawn_local(async move {
             let answer = discovery.get(&mut None, "/discovery/hosts", FETCH_WAIT).await;
             if discovery.address.get() != address {
-                // The new agent is asked for its whole list anyway.
+                // The new agent's complete list is requested anyway.
                 return;
             }
             match answer {
-                // The watch may have brought something newer meanwhile.
+                // The watch may have applied something newer meanwhile.
                 Ok(list) if Some(list.index) >= discovery.index.get() => {
-                    discovery.take(list, ListKind::Complete);
+                    discovery.apply(list, ListKind::Complete);
                 }
                 Ok(_) => {}
                 Err(failure) => {
                     eprintln!("pinerelay: discovery: {failure}; the watch goes on");
-                    discovery.members.take(ListKind::Lost, Vec::new());
+                    discovery.members.apply(ListKind::Lost, Vec::new());
                 }
             }
         });
@@ -221,20 +221,20 @@
     use super::*;
 
     #[test]
-    fn a_service_that_all_share_is_left_alone_and_an_agent_is_asked_again_at_once() {
+    fn a_shared_service_gets_backoff_and_an_agent_short_retries() {
         let shared = RefCell::new(Backoff::new(3));
-        let full = Failure::Status(StatusCode::SERVICE_UNAVAILABLE);
+        let overloaded = Failure::Status(StatusCode::SERVICE_UNAVAILABLE);
         let mut pause = PAUSE;
         for _ in 0..8 {
-            assert!(away(Some(&shared), &full, &mut pause) >= Duration::from_secs(2));
+            assert!(retry_pause(Some(&shared), &overloaded, &mut pause) >= Duration::from_secs(2));
         }
         assert_eq!(pause, PAUSE);
         for (backoff, failure) in
-            [(None, &full), (Some(&shared), &Failure::Broken), (Some(&shared), &Failure::Silent)]
+            [(None, &overloaded), (Some(&shared), &Failure::Broken), (Some(&shared), &Failure::TimedOut)]
         {
             let mut pause = PAUSE;
-            let most = (0..8).map(|_| away(backoff, failure, &mut pause)).max();
-            assert_eq!(most, Some(PAUSE_MOST));
+            let most = (0..8).map(|_| retry_pause(backoff, failure, &mut pause)).max();
+            assert_eq!(most, Some(MAX_PAUSE));
         }
     }
 }
--- a/crates/node/src/net/succession.rs
+++ b/crates/node/src/net/succession.rs
@@ -1,4 +1,4 @@
-//! What the processes of one node tell each other, by files in a folder that all of them have.
+//! State that the processes of one node share by files in a common folder.
 
 pub mod learned;
 pub mod records;
--- a/crates/node/src/net/succession/shared.rs
+++ b/crates/node/src/net/succession/shared.rs
@@ -1,7 +1,7 @@
-//! What this process shares with the others of its address, as its clients' sides see it: never waiting for a disk.
+//! State shared with the other processes of the address, for the request-serving thread: no call here waits for the disk.
 //!
-//! The files are another thread's. Danger: a rename, a truncation or the first byte of a second waits for the disk where that
-//! is busy, for seconds at worst, and with it every request of a process that has one thread.
+//! A thread of its own accesses the files. Danger: on a busy disk a rename, a truncation or the first write in a second can
+//! block for seconds, and would block every request of a process that serves on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -20,109 +20,112 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::records::{now, JoinError, Looked, Mine, Records};
+use super::records::{now, JoinError, OwnState, Records, SyncResult};
 
-/// How long a call may take to reach the files. A caller waits for a second.
+/// How long writing a call to the files may take. Callers wait for a second.
 const CALL_WAIT: Duration = Duration::from_millis(700);
 
-/// What the thread of the files is asked.
-enum Ask {
-    /// To look at the others, and to tell them of this process.
-    Look { mine: Mine, learned: Option<Value> },
-    /// To take a call.
+/// Requests to the file thread.
+enum FileRequest {
+    /// Read the others' records and write this process's.
+    Sync { own: OwnState, learned: Option<Value> },
+    /// Apply and write an operator's call.
     Call { name: String, call: Call, answer: oneshot::Sender<(io::Result<()>, HeldOut)> },
-    /// To forget who came back and is not among these.
+    /// Drop the marks of re-included app servers that are not in this set.
     Listed(BTreeSet<String>),
 }
 
-/// What a look has found, and who is held out if that has changed.
-type Told = (Looked, Option<HeldOut>);
+/// The result of a sync, and the excluded app servers if they have changed.
+type SyncOutcome = (SyncResult, Option<HeldOut>);
 
-/// What this process shares.
+/// The shared state as this process knows it.
 pub struct Shared {
-    ask: Option<mpsc::Sender<Ask>>,
-    told: RefCell<UnboundedReceiver<Told>>,
-    /// A look is under way.
-    looking: Cell<bool>,
+    requests: Option<mpsc::Sender<FileRequest>>,
+    outcomes: RefCell<UnboundedReceiver<SyncOutcome>>,
+    /// A sync has been requested and its result not taken yet.
+    sync_pending: Cell<bool>,
     held: RefCell<HeldOut>,
-    /// Calls out that the files have not told of yet: they hold here from the call on.
-    out: RefCell<BTreeSet<String>>,
-    /// What the process before had learned.
+    /// Exclusions that the file thread has not confirmed yet; they take effect here at once.
+    unconfirmed: RefCell<BTreeSet<String>>,
+    /// The learned state of the previous process.
     learned: Option<Learned>,
 }
 
 impl Shared {
-    /// Nobody to share with: all is this process's own.
+    /// State of a process that shares with no other.
     pub fn alone() -> Shared {
-        let (_, told) = unbounded_channel();
+        let (_, outcomes) = unbounded_channel();
         Shared {
-            ask: None,
-            told: RefCell::new(told),
-            looking: Cell::new(false),
+            requests: None,
+            outcomes: RefCell::new(outcomes),
+            sync_pending: Cell::new(false),
             held: RefCell::default(),
-            out: RefCell::default(),
+            unconfirmed: RefCell::default(),
             learned: None,
         }
     }
 
-    /// Takes a place among the processes that listen at this address. What it finds there is known when this returns; from
-    /// then on the files are another thread's.
-    pub fn join(folder: &Path, listen: SocketAddr, limit: usize) -> Result<(Shared, Looked), JoinError> {
+    /// Joins the processes that listen at this address: runs the first sync, which may block on the disk, then starts the
+    /// file thread.
+    pub fn join(folder: &Path, listen: SocketAddr, limit: usize) -> Result<(Shared, SyncResult), JoinError> {
         let records = Records::join(folder, listen, limit)?;
-        let looked = records.look(Mine { standing: Standing::Coming, used: 0 });
-        let (held, learned) = (records.held(), records.learned());
-        let (ask, asked) = mpsc::channel();
-        let (tell, told) = unbounded_channel();
+        let synced = records.sync(OwnState { standing: Standing::Coming, used: 0 });
+        let (held, learned) = (records.held_out(), records.learned());
+        let (requests, request_receiver) = mpsc::channel();
+        let (outcome_sender, outcomes) = unbounded_channel();
         std::thread::Builder::new()
             .name("succession".into())
-            .spawn(move || keep(&records, &asked, &tell))
+            .spawn(move || run_file_thread(&records, &request_receiver, &outcome_sender))
             .map_err(|error| JoinError::File(folder.into(), error))?;
         let shared = Shared {
-            ask: Some(ask),
-            told: RefCell::new(told),
-            looking: Cell::new(false),
+            requests: Some(requests),
+            outcomes: RefCell::new(outcomes),
+            sync_pending: Cell::new(false),
             held: RefCell::new(held),
-            out: RefCell::default(),
+            unconfirmed: RefCell::default(),
             learned,
         };
-        Ok((shared, looked))
+        Ok((shared, synced))
     }
 
-    /// Whether there is nobody to look at.
+    /// Whether this process shares with no other.
     pub fn is_alone(&self) -> bool {
-        self.ask.is_none()
+        self.requests.is_none()
     }
 
-    /// What the process before had learned.
+    /// The learned state of the previous process.
     pub fn learned(&self) -> Option<&Learned> {
         self.learned.as_ref()
     }
 
-    /// Whether it is to get nothing new.
-    pub fn holds(&self, name: &str) -> bool {
-        self.out.borrow().contains(name) || self.held.borrow().holds(name)
+    /// Whether an app server is excluded from new requests.
+    pub fn is_excluded(&self, name: &str) -> bool {
+        self.unconfirmed.borrow().contains(name) || self.held.borrow().holds(name)
     }
 
-    /// When an app server has started, by what its source tells and by when it was let back.
-    pub fn started(&self, name: &str, told: UnixMs) -> UnixMs {
-        self.held.borrow().started(name, told)
+    /// The start time of an app server, from its source's `since_ms` and the time of its re-inclusion.
+    pub fn started(&self, name: &str, since_ms: UnixMs) -> UnixMs {
+        self.held.borrow().started(name, since_ms)
     }
 
-    /// Forgets when app servers came back that are listed no more.
+    /// Drops the marks of re-included app servers that are no longer listed.
     pub fn listed(&self, names: BTreeSet<String>) {
-        match &self.ask {
-            Some(ask) => drop(ask.send(Ask::Listed(names))),
+        match &self.requests {
+            Some(requests) => drop(requests.send(FileRequest::Listed(names))),
             None => self.held.borrow_mut().forget(now(), |name| names.contains(name)),
         }
     }
 
-    /// Takes a call, and tells the other processes. A call out holds here at once, whatever comes of that; a call back holds
-    /// once it has been told.
+    /// Applies an operator's call and publishes it to the other processes. An exclusion takes effect here at once, even if
+    /// publishing fails; an inclusion takes effect once it is written.
     pub fn call<'a>(&'a self, name: &'a str, call: Call) -> impl Future<Output = io::Result<()>> + 'a {
         let (answer, answered) = oneshot::channel();
-        let sent = self.ask.as_ref().map(|ask| ask.send(Ask::Call { name: name.into(), call, answer }));
+        let sent = self
+            .requests
+            .as_ref()
+            .map(|requests| requests.send(FileRequest::Call { name: name.into(), call, answer }));
         match sent {
-            Some(_) if call == Call::Exclude => drop(self.out.borrow_mut().insert(name.into())),
+            Some(_) if call == Call::Exclude => drop(self.unconfirmed.borrow_mut().insert(name.into())),
             Some(_) => {}
             None => drop(self.held.borrow_mut().call(name, call, now(), false)),
         }
@@ -135,9 +138,9 @@
             match timeout(CALL_WAIT, answered).await {
                 Ok(Ok((done, held))) => {
                     if call == Call::Include && done.is_ok() {
-                        self.out.borrow_mut().remove(name);
+                        self.unconfirmed.borrow_mut().remove(name);
                     }
-                    self.hold(&held);
+                    self.merge_held_out(&held);
                     done
                 }
                 Ok(Err(_)) => Err(ended()),
@@ -146,60 +149,76 @@
         }
     }
 
-    /// Asks for a look, unless one is under way; tells whether it did.
-    pub fn look(&self, mine: Mine, learned: Option<Value>) -> bool {
-        if self.looking.get() {
+    /// Requests a sync unless one is under way; returns whether it did.
+    pub fn request_sync(&self, own: OwnState, learned: Option<Value>) -> bool {
+        if self.sync_pending.get() {
             return false;
         }
-        let asked = self.ask.as_ref().is_some_and(|ask| ask.send(Ask::Look { mine, learned }).is_ok());
-        self.looking.set(asked);
-        asked
+        let requested = self
+            .requests
+            .as_ref()
+            .is_some_and(|requests| requests.send(FileRequest::Sync { own, learned }).is_ok());
+        self.sync_pending.set(requested);
+        requested
     }
 
-    /// Waits for what the look under way has found; for ever without one.
-    pub async fn looked(&self) -> Looked {
-        let told = std::future::poll_fn(|cx| self.told.borrow_mut().poll_recv(cx)).await;
-        let Some((looked, held)) = told else { return std::future::pending().await };
-        self.looking.set(false);
-        held.iter().for_each(|held| self.hold(held));
-        looked
+    /// Waits for the result of the sync under way; forever if there is none.
+    pub async fn next_sync_result(&self) -> SyncResult {
+        let synced = std::future::poll_fn(|cx| self.outcomes.borrow_mut().poll_recv(cx)).await;
+        let Some((result, held)) = synced else { return std::future::pending().await };
+        self.sync_pending.set(false);
+        held.iter().for_each(|held| self.merge_held_out(held));
+        result
     }
 
-    /// What a look finds where there is nobody else.
-    pub fn nobody(limit: usize) -> Looked {
-        Looked { held: false, claim: limit, others: Others::default(), waits: false }
+    /// The sync result of a process that shares with no other.
+    pub fn sync_alone(limit: usize) -> SyncResult {
+        SyncResult {
+            exclusions_changed: false,
+            claim: limit,
+            others: Others::default(),
+            awaits_repair: false,
+        }
     }
 
-    /// Takes in who is held out. Marks merge: what is told late undoes nothing.
-    fn hold(&self, held: &HeldOut) {
+    /// Merges exclusions, so that late results undo nothing.
+    fn merge_held_out(&self, held: &HeldOut) {
         self.held.borrow_mut().merge(held);
-        self.out.borrow_mut().retain(|name| !held.holds(name));
+        self.unconfirmed.borrow_mut().retain(|name| !held.holds(name));
     }
 }
 
-/// Does what is asked, one thing after the other, until nobody asks any more.
-fn keep(records: &Records, asked: &mpsc::Receiver<Ask>, tell: &UnboundedSender<Told>) {
-    while let Ok(ask) = asked.recv() {
-        match ask {
-            Ask::Look { mine, learned } => {
+/// The file thread: handles requests in order until all senders are gone.
+fn run_file_thread(
+    records: &Records,
+    request_receiver: &mpsc::Receiver<FileRequest>,
+    outcome_sender: &UnboundedSender<SyncOutcome>,
+) {
+    while let Ok(request) = request_receiver.recv() {
+        match request {
+            FileRequest::Sync { own, learned } => {
                 if let Some(learned) = learned {
-                    records.keep(learned);
+                    records.set_learned(learned);
                 }
-                let looked = records.look(mine);
-                if tell.send((looked, looked.held.then(|| records.held()))).is_err() {
+                let synced = records.sync(own);
+                if outcome_sender
+                    .send((synced, synced.exclusions_changed.then(|| records.held_out())))
+                    .is_err()
+                {
                     return;
                 }
             }
-            Ask::Call { name, call, answer } => {
-                // Danger: who called back was told that it may not be done, and may have thought again.
+            FileRequest::Call { name, call, answer } => {
+                // Danger: the caller of an inclusion that timed out was answered that it may not be done, and may have changed
+                // the decision.
                 if call == Call::Include && answer.is_closed() {
                     continue;
                 }
                 let done = records.call(&name, call);
-                // Its caller may have been told already that the disk stands still.
-                let _ = answer.send((done, records.held()));
+                // The caller may have timed out already.
+                let _ = answer.send((done, records.held_out()));
             }
-            Ask::Listed(names) => records.forget(|name| names.contains(name)),
+            FileRequest::Listed(names) => records.forget(|name| names.contains(name)),
         }
     }
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's own file: settings beyond what the platform writes, read strictly.
+//! The operator's file: settings in addition to the platform's configuration, read strictly.
 
 use std::path::Path;
 
@@ -7,25 +7,25 @@
 
 use crate::strict::{self, within, Checked, FileError, Span};
 
-/// All that an operator may set. What is left out has the value that it has with no file at all.
+/// All operator settings. Omitted keys have the same defaults as without a file.
 #[derive(Debug, Clone, PartialEq, Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// The clients' side.
+    /// Settings for clients' connections.
     pub front: Front,
-    /// The quota counter.
+    /// Settings for the quota counter.
     pub counter: CounterPart,
-    /// The Redis that holds the shared counts in place of the quota counter; the counter holds them without it.
+    /// Redis as the store of the shared counts; without it the quota counter is used.
     pub redis: Option<Redis>,
     /// The planned stop.
     pub stop: Stop,
 }
 
-/// The clients' side.
+/// Settings for clients' connections.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Front {
-    /// Connections that the machine accepts ahead of the node: 1 to 65,535.
+    /// Listen backlog, in connections: 1 to 65,535.
     pub backlog: u32,
     /// The share of the descriptors that clients may hold: 0.1 to 0.9.
     pub client_share: f64,
@@ -35,11 +35,11 @@
     pub body_wait: Span,
 }
 
-/// The quota counter.
+/// Settings for the quota counter.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CounterPart {
-    /// Connections to it: 1 to 32, which is what it holds of one node.
+    /// Connections to it: 1 to 32, which is the most it accepts of one node.
     pub connections: usize,
 }
 
@@ -47,12 +47,12 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stop {
-    /// Idle connections are closed after this: new ones may go on coming for 0.4 s, and what crosses the close
-    /// can still connect anew. 0 to 10 s.
+    /// Idle connections are closed after this: new ones may still arrive for 0.4 s, and a client whose request crosses
+    /// the close can still reconnect. 0 to 10 s.
     pub idle_after: Span,
-    /// The listener closes after this much more. 0 to 10 s.
+    /// The listener is closed this long after that. 0 to 10 s.
     pub deaf_after: Span,
-    /// What is open after this (or the longest deadline, if that is less) and 0.3 s has failed. Up to 10 min;
+    /// Requests still open after this (or the longest deadline, if that is less) plus 0.3 s are failed. Up to 10 min;
     /// more than the two above together.
     pub patience: Span,
 }
@@ -84,7 +84,7 @@
 }
 
 impl Checked for Operator {
-    /// The first key that is out of its range or at odds with another, and what is wanted.
+    /// Returns the first key that is out of range or contradicts another, and what is expected.
     fn refused(&self) -> Option<(String, String)> {
         let stop = &self.stop;
         let closed = stop.idle_after.0 + stop.deaf_after.0;
@@ -118,7 +118,7 @@
     }
 
     #[test]
-    fn an_empty_file_changes_nothing_and_a_value_changes_its_own_key_alone() {
+    fn an_empty_file_is_the_default_and_a_value_changes_only_its_own_key() {
         assert_eq!(parse(""), Ok(Operator::default()));
         let mut changed = Operator::default();
         changed.stop.patience = Span::ms(4_000);
@@ -126,9 +126,9 @@
     }
 
     #[test]
-    fn what_is_wrong_is_named_by_file_line_key_and_what_is_wanted() {
+    fn errors_name_the_file_line_key_and_expected_value() {
         // Rows: an unknown table, an unknown key, a bare number and a wrong unit where a time is wanted, a wrong
-        // type, no TOML, a key twice, values out of their range, and two that can't both hold.
+        // type, no TOML, a duplicate key, values out of range, and two that contradict each other.
         let rows = [
             ("[fronts]\n", &["operator.toml:1", "unknown field `fronts`", "front"][..]),
             ("[front]\nbacklogs = 1\n", &["operator.toml:2", "front.backlogs: unknown field", "`backlog`"]),
@@ -165,7 +165,7 @@
     }
 
     #[test]
-    fn the_example_is_what_holds_without_a_file() {
+    fn the_example_file_matches_the_defaults() {
         let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.example.toml");
         let text = std::fs::read_to_string(example).expect("the example");
         assert_eq!(parse(&text), Ok(Operator::default()));
--- a/crates/node/src/run/store.rs
+++ b/crates/node/src/run/store.rs
@@ -1,4 +1,4 @@
-//! Where the shared counts live: the counter, or Redis.
+//! The store of the shared quota counts: the platform's counter, or Redis.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,33 +12,33 @@
 use crate::operator::Operator;
 use crate::strict::FileError;
 
-/// Where the shared counts live.
+/// The store of the shared quota counts.
 #[derive(Clone)]
 pub enum Store {
     /// The platform's counter.
     Counter(Rc<Counter>),
-    /// Redis, by the operator's file.
+    /// Redis, as configured in the operator's file.
     Redis(Rc<RedisStore>),
 }
 
 impl Store {
-    /// As the node sees it.
+    /// The store as the node's `QuotaStore`.
     pub fn port(&self) -> Rc<dyn QuotaStore> {
         match self {
             Store::Counter(counter) => counter.clone(),
-            Store::Redis(store) => Rc::new(redis::OnRedis(store.clone())),
+            Store::Redis(store) => Rc::new(redis::RedisQuotaStore(store.clone())),
         }
     }
 
-    /// Goes on at the counter's new address; Redis has its own in the operator's file.
-    pub fn counter_moves(&self, to: Option<SocketAddr>) {
+    /// Switches to the counter's new address. No effect on Redis, whose address is in the operator's file.
+    pub fn move_counter(&self, to: Option<SocketAddr>) {
         if let Store::Counter(counter) = self {
             counter.move_to(to);
         }
     }
 
-    /// Goes on where the operator's file says.
-    pub fn follow(&self, file: &Path) -> Result<(), FileError> {
+    /// Reads the operator's file again and switches to its Redis server. Fails if the file changes the kind of store.
+    pub fn reload_operator_file(&self, file: &Path) -> Result<(), FileError> {
         match (self, &Operator::read(file)?.redis) {
             (Store::Redis(redis), Some(settings)) => {
                 redis.move_to(redis::server(settings, file)?);
--- a/crates/node/src/strict.rs
+++ b/crates/node/src/strict.rs
@@ -1,4 +1,4 @@
-//! Files that people write, read strictly: what is wrong is told by file, line, key, and what is wanted.
+//! Strict reading of TOML files written by people: errors name the file, line, key, and what is expected.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -12,24 +12,24 @@
 pub enum FileError {
     /// It can't be read.
     Unreadable(PathBuf, std::io::Error),
-    /// It is no TOML, or a key is unknown or holds what it can't.
+    /// It is not TOML, or a key is unknown or has a value of the wrong type or form.
     Malformed {
         /// The file.
         path: PathBuf,
         /// The line, from 1.
         line: Option<usize>,
-        /// The key, with the tables it stands in; empty or a dot where it is the file's own.
+        /// The key with its tables; empty or a dot for the file itself.
         key: String,
-        /// What is wanted.
+        /// What is expected.
         why: String,
     },
-    /// A value is out of its range, or at odds with another.
+    /// A value is out of range, or contradicts another.
     Refused {
         /// The file.
         path: PathBuf,
-        /// The key, with the tables it stands in.
+        /// The key with its tables.
         key: String,
-        /// What is wanted.
+        /// What is expected.
         why: String,
     },
 }
@@ -57,7 +57,7 @@
 
 /// A file whose values can be checked against their ranges and each other.
 pub trait Checked: DeserializeOwned {
-    /// The first key that is out of its range or at odds with another, and what is wanted.
+    /// Returns the first key that is out of range or contradicts another, and what is expected.
     fn refused(&self) -> Option<(String, String)>;
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// What is wrong with a value that is not within two bounds.
+/// Returns the key and an error text if a value is outside `least` to `most`.
 pub fn within<T: PartialOrd + fmt::Display>(
     key: impl Into<String>,
     value: T,
@@ -95,12 +95,12 @@
     (!fits).then(|| (key.into(), format!("{least} to {most} is wanted, not {value}")))
 }
 
-/// A span of time, written with its unit: `"450ms"`, `"3s"`, `"10m"`.
+/// A duration, written with its unit: `"450ms"`, `"3s"`, `"10m"`.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Span(pub Duration);
 
 impl Span {
-    /// So many milliseconds.
+    /// A duration of this many milliseconds.
     pub const fn ms(ms: u64) -> Span {
         Span(Duration::from_millis(ms))
     }
--- a/crates/node/tests/check.rs
+++ b/crates/node/tests/check.rs
@@ -1,11 +1,11 @@
-//! `pinerelay check` and the command line, as an operator uses them.
+//! The command line and `pinerelay check`.
 
 mod fakes;
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use fakes::{config, entry, nobody};
+use fakes::{config, entry, refusing_address};
 use serde_json::{json, Value};
 
 fn pinerelay(words: &[&str]) -> Output {
@@ -20,7 +20,7 @@
     path
 }
 
-/// Checks one file: its exit code and what it says on standard error.
+/// Checks one file; returns the exit code and the standard error output.
 fn check(name: &str, text: &str) -> (Option<i32>, String) {
     let path = file(name, text);
     let out = pinerelay(&["check", path.to_str().expect("UTF-8")]);
@@ -28,14 +28,14 @@
     (out.status.code(), String::from_utf8(out.stderr).expect("text"))
 }
 
-fn sound() -> Value {
-    config(&[entry("s-1", nobody(), "a", "up")])
+fn valid_config() -> Value {
+    config(&[entry("s-1", refusing_address(), "a", "up")])
 }
 
 #[test]
-fn sound_files_are_valid_and_no_socket_is_opened() {
+fn valid_files_are_accepted_and_no_socket_is_opened() {
     // An address that this machine does not have: listening there would fail.
-    let mut config = sound();
+    let mut config = valid_config();
     config["listen"] = json!("192.0.2.1:3000");
     let config = file("sound.json", &config.to_string());
     let operator = file("sound.toml", "[counter]\nconnections = 8\n");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn each_fault_of_a_configuration_is_named_with_file_and_key() {
+fn each_fault_of_a_configuration_names_file_and_key() {
     type Change = fn(&mut Value);
     let rows: [(Change, &str); 9] = [
         (|c| c["listen"] = json!("nowhere"), "listen: \"nowhere\" is no address"),
@@ -62,32 +62,32 @@
         (|c| c["settings"]["bounds"] = json!(null), "the configuration is malformed"),
     ];
     for (change, wanted) in rows {
-        let mut config = sound();
+        let mut config = valid_config();
         change(&mut config);
-        let (code, said) = check("broken.json", &config.to_string());
-        assert_eq!(code, Some(1), "{said}");
-        assert!(said.contains("broken.json: ") && said.contains(wanted), "{said:?} lacks {wanted:?}");
+        let (code, errors) = check("broken.json", &config.to_string());
+        assert_eq!(code, Some(1), "{errors}");
+        assert!(errors.contains("broken.json: ") && errors.contains(wanted), "{errors:?} lacks {wanted:?}");
     }
-    // Several faults are all told at once.
-    let mut config = sound();
+    // All faults are reported at once.
+    let mut config = valid_config();
     config["seed"] = json!("xyz");
     config["settings"]["zones"] = json!(["a", "a"]);
-    let (_, said) = check("two.json", &config.to_string());
-    assert_eq!(said.lines().count(), 2, "{said}");
+    let (_, errors) = check("two.json", &config.to_string());
+    assert_eq!(errors.lines().count(), 2, "{errors}");
 }
 
 #[test]
-fn a_file_that_is_missing_or_an_operators_file_that_is_wrong_is_refused() {
+fn a_missing_file_and_an_invalid_operators_file_are_refused() {
     let out = pinerelay(&["check", "/nonexistent/operator.toml"]);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("cannot read /nonexistent/operator.toml"));
-    let (code, said) = check("wrong.toml", "[stop]\npatience = 3\n");
+    let (code, errors) = check("wrong.toml", "[stop]\npatience = 3\n");
     assert_eq!(code, Some(1));
-    assert!(said.contains("wrong.toml:2: stop.patience: wanted a time with its unit"), "{said}");
+    assert!(errors.contains("wrong.toml:2: stop.patience: wanted a time with its unit"), "{errors}");
 }
 
 #[test]
-fn a_command_line_that_cannot_be_read_is_told_so_and_nothing_runs() {
+fn an_invalid_command_line_prints_usage_and_nothing_runs() {
     for words in [&["chek"][..], &["check"], &["--operator"]] {
         let out = pinerelay(words);
         assert_eq!(out.status.code(), Some(2), "{words:?}");
@@ -99,11 +99,11 @@
 }
 
 #[test]
-fn a_node_does_not_start_with_an_operators_file_that_is_wrong() {
-    let config = file("start.json", &sound().to_string());
+fn a_node_does_not_start_with_an_invalid_operators_file() {
+    let config = file("start.json", &valid_config().to_string());
     let operator = file("start.toml", "[fronts]\n");
-    let word = |p: &PathBuf| p.to_str().expect("UTF-8").to_string();
-    let out = pinerelay(&["--config", &word(&config), "--operator", &word(&operator)]);
+    let path_text = |p: &PathBuf| p.to_str().expect("UTF-8").to_string();
+    let out = pinerelay(&["--config", &path_text(&config), "--operator", &path_text(&operator)]);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("unknown field `fronts`"), "{out:?}");
     for path in [config, operator] {
--- a/crates/node/tests/fakes/mod.rs
+++ b/crates/node/tests/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! Peers of a node under test, on loopback sockets with ports of their own: an app server whose every answer
-//! the test gives by hand, discovery, a counter, and a client. Everything is ordered by what has arrived.
+//! Peers of a node under test on loopback sockets: app servers that the test answers by hand, discovery, a counter,
+//! and clients. Tests synchronise on received messages rather than on time.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -15,8 +15,8 @@
 
 use serde_json::{json, Value};
 
-/// Far longer than anything here takes, on however slow a machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait; far longer than anything here takes, even on a slow machine.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Message {
     pub first: String,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads one message; none if the connection ends first.
+/// Reads one HTTP message; `None` if the connection ends first.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
@@ -60,13 +60,13 @@
     Some(Message { first, headers, body })
 }
 
-/// A request that has come whole to an app server, to be answered by the test.
-pub struct Seen {
+/// A complete request received by an app server, to be answered by the test.
+pub struct ReceivedRequest {
     pub message: Message,
     stream: TcpStream,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn id(&self) -> &str {
         self.message.header("x-request-id").expect("an id")
     }
@@ -83,8 +83,8 @@
     }
 
     /// Sends this and leaves the connection open.
-    pub fn spoil(mut self, bytes: &[u8]) {
-        // The node may have had enough of it halfway.
+    pub fn send_partial(mut self, bytes: &[u8]) {
+        // The node may close the connection before all is written.
         let _ = self.stream.write_all(bytes);
     }
 
@@ -93,24 +93,24 @@
     }
 }
 
-/// What an app server tells of.
-pub enum News {
-    Request(Seen),
+/// What happens at an app server.
+pub enum AppEvent {
+    Request(ReceivedRequest),
     /// A connection has ended.
     Ended,
 }
 
-/// A clone of each connection of an app server, for closing it.
+/// Clones of an app server's connections, to close them.
 pub type Lines = Arc<Mutex<Vec<TcpStream>>>;
 
-pub struct App {
+pub struct AppServer {
     pub address: SocketAddr,
     pub lines: Lines,
-    news: Receiver<News>,
+    news: Receiver<AppEvent>,
 }
 
-impl App {
-    pub fn new() -> App {
+impl AppServer {
+    pub fn new() -> AppServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, news) = channel();
@@ -123,65 +123,65 @@
                 spawn(move || serve_app(stream, sender));
             }
         });
-        App { address, news, lines }
+        AppServer { address, news, lines }
     }
 
-    pub fn news(&self) -> News {
-        self.news.recv_timeout(PATIENCE).expect("news in time")
+    pub fn news(&self) -> AppEvent {
+        self.news.recv_timeout(TIMEOUT).expect("news in time")
     }
 
-    /// The next request; ends of connections are passed over.
-    pub fn next(&self) -> Seen {
+    /// The next request; closed connections are ignored.
+    pub fn next(&self) -> ReceivedRequest {
         loop {
-            if let News::Request(seen) = self.news() {
+            if let AppEvent::Request(seen) = self.news() {
                 return seen;
             }
         }
     }
 
-    /// The next request, if one comes within moments.
-    pub fn poll(&self) -> Option<Seen> {
+    /// The next request, if one arrives within 200 events or about 200 ms.
+    pub fn poll(&self) -> Option<ReceivedRequest> {
         (0..200).find_map(|_| self.poll_once())
     }
 
-    pub fn poll_once(&self) -> Option<Seen> {
+    pub fn poll_once(&self) -> Option<ReceivedRequest> {
         match self.news.recv_timeout(Duration::from_millis(1)) {
-            Ok(News::Request(seen)) => Some(seen),
+            Ok(AppEvent::Request(seen)) => Some(seen),
             _ => None,
         }
     }
 
-    pub fn ended(&self) {
-        assert!(matches!(self.news(), News::Ended), "a request instead of the connection's end");
+    pub fn expect_close(&self) {
+        assert!(matches!(self.news(), AppEvent::Ended), "a request instead of the connection's end");
     }
 
-    /// That nothing but ends of connections has come by now.
+    /// Asserts that no request has been received by now.
     pub fn no_request(&self) {
         while let Ok(news) = self.news.try_recv() {
-            assert!(!matches!(news, News::Request(_)), "a request that should not have come");
+            assert!(!matches!(news, AppEvent::Request(_)), "a request that should not have come");
         }
     }
 }
 
-fn serve_app(stream: TcpStream, sender: Sender<News>) {
+fn serve_app(stream: TcpStream, sender: Sender<AppEvent>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
     while let Some(message) = read_message(&mut reader) {
-        let seen = Seen { message, stream: stream.try_clone().expect("a clone") };
-        if sender.send(News::Request(seen)).is_err() {
+        let seen = ReceivedRequest { message, stream: stream.try_clone().expect("a clone") };
+        if sender.send(AppEvent::Request(seen)).is_err() {
             return;
         }
     }
-    let _ = sender.send(News::Ended);
+    let _ = sender.send(AppEvent::Ended);
 }
 
 /// The next request at either of two app servers: which, and the request.
-pub fn next_of(apps: &[&App]) -> (usize, Seen) {
-    let until = Instant::now() + PATIENCE;
+pub fn next_of(apps: &[&AppServer]) -> (usize, ReceivedRequest) {
+    let until = Instant::now() + TIMEOUT;
     while Instant::now() < until {
         for (i, app) in apps.iter().enumerate() {
             match app.news.recv_timeout(Duration::from_millis(2)) {
-                Ok(News::Request(seen)) => return (i, seen),
-                Ok(News::Ended) | Err(RecvTimeoutError::Timeout) => {}
+                Ok(AppEvent::Request(seen)) => return (i, seen),
+                Ok(AppEvent::Ended) | Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => panic!("an app server ended"),
             }
         }
@@ -189,13 +189,13 @@
     panic!("no request in time");
 }
 
-/// An address where connections are refused, for as long as the tests run. Danger: a port that is free again is given to
-/// the next peer that listens, and what another test's node sends to nobody comes to it.
-pub fn nobody() -> SocketAddr {
+/// An address that refuses connections for as long as the tests run. Danger: a released port could be assigned to another
+/// test's peer, which would then receive this node's connections.
+pub fn refusing_address() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = socket.local_addr().expect("an address");
-    // Bound, never listening, and held to the end.
+    // The socket stays bound, never listening, to the end of the process.
     std::mem::forget(socket);
     address
 }
@@ -208,18 +208,18 @@
     watched: Vec<u64>,
     lines: Vec<TcpStream>,
     mute: bool,
-    /// What a fetch of the whole list is answered.
-    whole: Option<Vec<Value>>,
+    /// The answer to a fetch of the complete list.
+    snapshot: Option<Vec<Value>>,
 }
 
 /// Discovery: changes are pushed by the test.
-pub struct Lists {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     state: Arc<(Mutex<ListState>, Condvar)>,
 }
 
-impl Lists {
-    pub fn new() -> Lists {
+impl DiscoveryServer {
+    pub fn new() -> DiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let state: Arc<(Mutex<ListState>, Condvar)> = Arc::default();
@@ -232,14 +232,14 @@
                 spawn(move || serve_lists(stream, &shared));
             }
         });
-        Lists { address, state }
+        DiscoveryServer { address, state }
     }
 
-    /// An agent that has a whole list to tell, under a version of its own.
-    pub fn holding(index: u64, entries: &[Value]) -> Lists {
-        let lists = Lists::new();
+    /// An agent that answers fetches with this complete list, at a version of its own.
+    pub fn with_snapshot(index: u64, entries: &[Value]) -> DiscoveryServer {
+        let lists = DiscoveryServer::new();
         let mut state = lists.state.0.lock().expect("no panic");
-        (state.index, state.whole) = (index, Some(entries.to_vec()));
+        (state.index, state.snapshot) = (index, Some(entries.to_vec()));
         drop(state);
         lists
     }
@@ -249,12 +249,12 @@
         let (lock, wake) = &*self.state;
         let state = lock.lock().expect("no panic");
         let rest = |s: &mut ListState| !s.watched.contains(&index);
-        let (_held, late) = wake.wait_timeout_while(state, PATIENCE, rest).expect("no panic");
+        let (_held, late) = wake.wait_timeout_while(state, TIMEOUT, rest).expect("no panic");
         assert!(!late.timed_out(), "the node does not watch from {index}");
     }
 
-    /// Tells of a change; its version.
-    pub fn tell(&self, entry: Value) -> u64 {
+    /// Publishes a change; returns its version.
+    pub fn publish(&self, entry: Value) -> u64 {
         let (lock, wake) = &*self.state;
         let mut state = lock.lock().expect("no panic");
         state.index += 1;
@@ -264,13 +264,13 @@
         index
     }
 
-    /// Tells of a change and waits until the node has taken it in: until it watches from there on.
-    pub fn push(&self, entry: Value) {
-        let index = self.tell(entry);
+    /// Publishes a change and waits until the node has applied it, that is until it watches from its version.
+    pub fn publish_and_wait(&self, entry: Value) {
+        let index = self.publish(entry);
         let (lock, wake) = &*self.state;
         let state = lock.lock().expect("no panic");
         let rest = |s: &mut ListState| !s.watched.contains(&index);
-        let (_held, late) = wake.wait_timeout_while(state, PATIENCE, rest).expect("no panic");
+        let (_held, late) = wake.wait_timeout_while(state, TIMEOUT, rest).expect("no panic");
         assert!(!late.timed_out(), "the node does not watch on");
     }
 
@@ -279,11 +279,11 @@
         let (lock, wake) = &*self.state;
         let state = lock.lock().expect("no panic");
         let (_held, late) =
-            wake.wait_timeout_while(state, PATIENCE, |s| s.watched.is_empty()).expect("no panic");
+            wake.wait_timeout_while(state, TIMEOUT, |s| s.watched.is_empty()).expect("no panic");
         assert!(!late.timed_out(), "the node does not watch");
     }
 
-    /// Whether watches are taken in and never answered.
+    /// Sets whether watches are received but never answered.
     pub fn mute(&self, mute: bool) {
         self.state.0.lock().expect("no panic").mute = mute;
     }
@@ -300,10 +300,10 @@
     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
     while let Some(message) = read_message(&mut reader) {
         let Some((_, after)) = message.first.split_once("after=") else {
-            // Left silent but for a list that a test gives: the list as known is what others start from.
+            // Unanswered unless the test gives a complete list: nodes start from the list in their configuration.
             let held = state.0.lock().expect("no panic");
-            let Some(whole) = &held.whole else { continue };
-            let body = json!({"index": held.index, "snapshot": true, "endpoints": whole}).to_string();
+            let Some(snapshot) = &held.snapshot else { continue };
+            let body = json!({"index": held.index, "snapshot": true, "endpoints": snapshot}).to_string();
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             if stream.write_all(text.as_bytes()).is_err() {
                 return;
@@ -330,15 +330,15 @@
     }
 }
 
-/// A call that has come to the counter, to be answered by the test.
-pub struct Called {
+/// A call received by the counter, to be answered by the test.
+pub struct CounterCall {
     pub name: String,
     pub amount: f64,
     stream: TcpStream,
 }
 
-impl Called {
-    /// The node's end of the connection that it came on.
+impl CounterCall {
+    /// The node's address on the connection of the call.
     pub fn line(&self) -> SocketAddr {
         self.stream.peer_addr().expect("a peer")
     }
@@ -357,13 +357,13 @@
     }
 }
 
-pub struct Counts {
+pub struct CounterServer {
     pub address: SocketAddr,
-    calls: Receiver<Called>,
+    calls: Receiver<CounterCall>,
 }
 
-impl Counts {
-    pub fn new() -> Counts {
+impl CounterServer {
+    pub fn new() -> CounterServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, calls) = channel();
@@ -375,7 +375,7 @@
                     while let Some(words) = read_call(&mut reader) {
                         let stream = stream.try_clone().expect("a clone");
                         let amount = words[2].parse().expect("a decimal number");
-                        let called = Called { name: words[1].clone(), amount, stream };
+                        let called = CounterCall { name: words[1].clone(), amount, stream };
                         if sender.send(called).is_err() {
                             return;
                         }
@@ -383,15 +383,15 @@
                 });
             }
         });
-        Counts { address, calls }
+        CounterServer { address, calls }
     }
 
-    pub fn poll(&self) -> Option<Called> {
+    pub fn poll(&self) -> Option<CounterCall> {
         self.calls.try_recv().ok()
     }
 
-    pub fn next(&self) -> Called {
-        self.calls.recv_timeout(PATIENCE).expect("a call in time")
+    pub fn next(&self) -> CounterCall {
+        self.calls.recv_timeout(TIMEOUT).expect("a call in time")
     }
 }
 
@@ -403,11 +403,11 @@
     assert_eq!(line, "*4\r\n");
     let mut words = Vec::new();
     for _ in 0..4 {
-        let mut word = String::new();
-        reader.read_line(&mut word).ok()?;
-        word.clear();
-        reader.read_line(&mut word).ok()?;
-        words.push(word.trim_end().to_string());
+        let mut argument = String::new();
+        reader.read_line(&mut argument).ok()?;
+        argument.clear();
+        reader.read_line(&mut argument).ok()?;
+        words.push(argument.trim_end().to_string());
     }
     assert_eq!(words[0], "INCRTTL");
     Some(words)
@@ -442,34 +442,34 @@
 /// A configuration with nothing but these app servers.
 pub fn config(entries: &[Value]) -> Value {
     json!({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": nobody().to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "counter": nobody().to_string(),
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": refusing_address().to_string(), "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "counter": refusing_address().to_string(),
         "known": {"index": 1, "snapshot": true, "endpoints": entries}, "settings": settings(),
     })
 }
 
 pub struct Edge {
     pub address: SocketAddr,
-    /// Where operators call, if they may.
+    /// Address for operators' calls, if any.
     pub ops: Option<SocketAddr>,
     child: Child,
     path: PathBuf,
     log: BufReader<ChildStderr>,
 }
 
-/// A path in the system's folder for such that no other test has.
-pub fn scratch(ending: &str) -> PathBuf {
+/// A path in the system's temporary folder that no other test uses.
+pub fn temp_path(ending: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("pinerelay-{}-{number}{ending}", std::process::id()))
 }
 
-/// A folder that is gone after the test.
+/// A folder that is removed after the test.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
     pub fn new() -> Folder {
-        let path = scratch(".d");
+        let path = temp_path(".d");
         std::fs::create_dir(&path).expect("a folder");
         Folder(path)
     }
@@ -481,11 +481,11 @@
     }
 }
 
-/// Asks again and again until it holds; what a node does a moment later has no other sign.
+/// Polls until the condition holds, for changes that the node makes later without any other sign.
 pub fn until(what: &str, holds: impl Fn() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "never: {what}");
+        assert!(begun.elapsed() < TIMEOUT, "never: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -499,14 +499,14 @@
 }
 
 fn launch_as(mut command: Command, config: &str) -> (Child, PathBuf) {
-    let path = scratch(".json");
+    let path = temp_path(".json");
     std::fs::write(&path, config).expect("a file");
     command.env("PROXY_CONFIG", &path).stderr(Stdio::piped());
     (command.spawn().expect("the node starts"), path)
 }
 
-/// How a node with this configuration ends, and what it says.
-pub fn start_badly(config: &str) -> (ExitStatus, String) {
+/// Starts a node that is expected to fail; returns its exit status and log.
+pub fn failed_start(config: &str) -> (ExitStatus, String) {
     let out = launch(config, None).0.wait_with_output().expect("an end");
     (out.status, String::from_utf8(out.stderr).expect("text"))
 }
@@ -516,13 +516,13 @@
         Edge::with(config, None)
     }
 
-    /// A node that is given an operator's file too.
+    /// A node with an operator's file.
     pub fn with(config: &Value, operator: Option<&Path>) -> Edge {
         Edge::started(launch(&config.to_string(), operator))
     }
 
-    /// A node that operators may call, and that shares this folder with the processes before and after it.
-    pub fn operated(config: &Value, folder: &Path) -> Edge {
+    /// A node with an address for operators, which shares this folder with its previous and next processes.
+    pub fn with_operators(config: &Value, folder: &Path) -> Edge {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pinerelay"));
         command.env("PROXY_OPS", "127.0.0.1:0").env("TMPDIR", folder);
         Edge::started(launch_as(command, &config.to_string())).with_ops()
@@ -557,7 +557,7 @@
     /// None if the node ends meanwhile.
     pub fn try_call(&self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let mut stream = TcpStream::connect(self.ops.expect("an operators' address")).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         let length = body.len();
         let text = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: {length}\r\n\r\n{body}");
         stream.write_all(text.as_bytes()).ok()?;
@@ -565,8 +565,8 @@
         Some((answer.status(), String::from_utf8(answer.body).expect("text")))
     }
 
-    /// One of the node's figures, by its name and labels.
-    pub fn figure(&self, name: &str) -> f64 {
+    /// The value of a metric, by its name and labels.
+    pub fn metric(&self, name: &str) -> f64 {
         let (status, text) = self.call("GET", "/api/telemetry", "");
         assert_eq!(status, 200);
         let line =
@@ -576,11 +576,11 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the node accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         Client { reader: BufReader::new(stream.try_clone().expect("a clone")), stream }
     }
 
-    /// Replaces the configuration and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let next = self.path.with_extension("next");
         std::fs::write(&next, config).and_then(|()| std::fs::rename(&next, &self.path)).expect("a file");
@@ -588,7 +588,7 @@
     }
 
     /// The next line of the log.
-    pub fn says(&mut self) -> String {
+    pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
         assert!(self.log.read_line(&mut line).expect("a line") > 0, "the node has ended");
         line
@@ -608,14 +608,14 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// The most memory that it has held, in KiB.
+    /// Its peak resident memory, in KiB.
     pub fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a process");
         let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         most.and_then(|most| most.trim().strip_suffix(" kB")?.parse().ok()).expect("a figure")
     }
 
-    /// Waits for the node's end.
+    /// Waits for the node to exit; returns its status and the rest of its log.
     pub fn end(mut self) -> (ExitStatus, String) {
         let mut rest = String::new();
         self.log.read_to_string(&mut rest).expect("the log");
@@ -630,7 +630,7 @@
     }
 }
 
-/// The address at the end of the first line that begins so.
+/// The address at the end of the first log line with this prefix.
 fn address_in(log: &mut impl BufRead, begin: &str) -> SocketAddr {
     let mut line = String::new();
     while !line.starts_with(begin) {
@@ -645,19 +645,19 @@
     stream: TcpStream,
 }
 
-/// A request in the protocol's form.
-pub struct Ask {
+/// The variable parts of a request to the node.
+pub struct RequestSpec {
     pub class: &'static str,
     pub plan: &'static str,
     pub id: String,
     pub deadline_ms: u64,
 }
 
-pub fn ask(class: &'static str, id: &str) -> Ask {
-    Ask { class, plan: "free", id: id.into(), deadline_ms: 40_000 }
+pub fn ask(class: &'static str, id: &str) -> RequestSpec {
+    RequestSpec { class, plan: "free", id: id.into(), deadline_ms: 40_000 }
 }
 
-impl Ask {
+impl RequestSpec {
     pub fn text(&self) -> String {
         let (method, extra) = match self.class {
             "lookup" => ("GET", ""),
@@ -679,11 +679,11 @@
         self.stream.write_all(text.as_bytes()).expect("the node listens");
     }
 
-    pub fn ask(&mut self, ask: &Ask) {
+    pub fn ask(&mut self, ask: &RequestSpec) {
         self.raw(&ask.text());
     }
 
-    /// Waits for the connection's end; what still came before.
+    /// Waits for the connection to close; returns what was received before.
     pub fn rest(mut self) -> String {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
@@ -694,12 +694,12 @@
         String::from_utf8_lossy(&rest).into_owned()
     }
 
-    /// Whether an answer has begun to come.
+    /// Whether part of an answer has been received.
     pub fn has_answer(&mut self) -> bool {
         let short = Some(Duration::from_millis(1));
         self.stream.set_read_timeout(short).expect("a time-out");
         let come = self.reader.fill_buf().is_ok_and(|b| !b.is_empty());
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        self.stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         come
     }
 
--- a/crates/node/tests/long.rs
+++ b/crates/node/tests/long.rs
@@ -1,4 +1,4 @@
-//! Long bodies and slow peers: what is passed on in pieces, at whose pace, and what a break leaves behind.
+//! Long bodies and slow peers: streaming, backpressure, and aborted transfers.
 
 mod fakes;
 
@@ -11,28 +11,28 @@
 
 const LONG: usize = 1_000_000;
 
-/// An app server that the test plays itself, byte by byte.
-struct Raw(TcpListener);
+/// An app server whose bytes are read and written by the test itself.
+struct RawAppServer(TcpListener);
 
-impl Raw {
-    fn new() -> (Raw, Edge) {
-        Raw::with(|_| ())
+impl RawAppServer {
+    fn new() -> (RawAppServer, Edge) {
+        RawAppServer::with(|_| ())
     }
 
-    /// In front of it an edge node with this in its configuration.
-    fn with(change: impl Fn(&mut Value)) -> (Raw, Edge) {
+    /// With an edge node whose configuration is changed by `change`.
+    fn with(change: impl Fn(&mut Value)) -> (RawAppServer, Edge) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let mut config = config(&[entry("s-1", address, "a", "up")]);
         change(&mut config);
-        (Raw(listener), Edge::new(&config))
+        (RawAppServer(listener), Edge::new(&config))
     }
 
-    /// The next connection, past the head of its first request.
+    /// Accepts the next connection and reads the head of its first request.
     fn next(&self) -> (BufReader<TcpStream>, String) {
-        // A node that never connects fails the test, and does not hang it.
+        // Non-blocking, so that a node that never connects fails the test instead of blocking it.
         self.0.set_nonblocking(true).expect("a listener");
-        let until = std::time::Instant::now() + PATIENCE;
+        let until = std::time::Instant::now() + TIMEOUT;
         let stream = loop {
             match self.0.accept() {
                 Ok((stream, _)) => break stream,
@@ -43,7 +43,7 @@
             }
         };
         stream.set_nonblocking(false).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         let mut reader = BufReader::new(stream);
         let head = head_of(&mut reader);
         (reader, head)
@@ -58,7 +58,7 @@
     head.to_lowercase()
 }
 
-/// Bytes that differ from place to place.
+/// Bytes that depend on their position.
 fn body(length: usize) -> Vec<u8> {
     (0..length).map(|at| (at % 251) as u8).collect()
 }
@@ -71,7 +71,7 @@
 
 fn connect(edge: &Edge) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(edge.address).expect("the node accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     BufReader::new(stream)
 }
 
@@ -86,8 +86,8 @@
 const DONE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
 #[test]
-fn a_long_request_goes_on_before_all_of_it_has_come() {
-    let (app, edge) = Raw::new();
+fn a_long_request_is_streamed_before_it_is_complete() {
+    let (app, edge) = RawAppServer::new();
     let mut client = connect(&edge);
     let sent = body(LONG);
     write(&mut client, &long_ask("p-1", &format!("Content-Length: {LONG}")));
@@ -109,12 +109,12 @@
 }
 
 #[test]
-fn a_request_in_chunks_is_taken_and_nothing_behind_it_is_read() {
-    let (app, edge) = Raw::new();
+fn a_chunked_request_is_served_and_nothing_behind_it_is_read() {
+    let (app, edge) = RawAppServer::new();
     for (number, length) in [5, LONG].into_iter().enumerate() {
         let mut client = connect(&edge);
         let sent = body(length);
-        // A request with a length goes before it on the same connection: its head is not this one's.
+        // Preceded by a request with a content length on the same connection, whose head must not be taken for this one's.
         write(&mut client, ask("post", &format!("p-{number}")).text().as_bytes());
         let (mut at, _) = app.next();
         take(&mut at, 5);
@@ -132,23 +132,23 @@
         write(&mut client, b"0\r\nTrailer: dropped\r\n\r\n");
         write(&mut client, ask("post", "behind").text().as_bytes());
         let (mut at, head) = app.next();
-        let got = match head.contains("transfer-encoding: chunked") {
+        let received = match head.contains("transfer-encoding: chunked") {
             false => take(&mut at, length),
             true => {
-                let mut got = Vec::new();
+                let mut received = Vec::new();
                 loop {
                     let mut line = String::new();
                     at.read_line(&mut line).expect("a size");
                     let size = usize::from_str_radix(line.trim(), 16).expect("a size");
-                    got.extend(take(&mut at, size));
+                    received.extend(take(&mut at, size));
                     take(&mut at, 2);
                     if size == 0 {
-                        break got;
+                        break received;
                     }
                 }
             }
         };
-        assert!(got == sent, "{length}: what came differs");
+        assert!(received == sent, "{length}: what came differs");
         write(&mut at, DONE);
         let head = head_of(&mut client);
         assert!(head.starts_with("http/1.1 200") && head.contains("connection: close"), "{head}");
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn a_long_answer_goes_on_before_all_of_it_has_come() {
-    let (app, edge) = Raw::new();
+fn a_long_answer_is_streamed_before_it_is_complete() {
+    let (app, edge) = RawAppServer::new();
     let mut client = connect(&edge);
     let sent = body(LONG);
     for (number, framing) in
@@ -180,26 +180,26 @@
         write(&mut at, &piece(&sent[..100_000]));
         let head = head_of(&mut client);
         assert!(head.starts_with("http/1.1 200") && head.contains(&framing.to_lowercase()), "{head}");
-        let mut got = read_some(&mut client, 50_000, chunked);
+        let mut received = read_some(&mut client, 50_000, chunked);
         write(&mut at, &piece(&sent[100_000..]));
         if chunked {
             write(&mut at, b"0\r\n\r\n");
         }
-        got.extend(read_rest(&mut client, LONG - got.len(), chunked));
-        assert!(got == sent, "what came differs");
+        received.extend(read_rest(&mut client, LONG - received.len(), chunked));
+        assert!(received == sent, "what came differs");
     }
 }
 
-/// At least so many bytes of a body.
+/// Reads at least this many bytes of a body.
 fn read_some(client: &mut BufReader<TcpStream>, least: usize, chunked: bool) -> Vec<u8> {
     if !chunked {
         return take(client, least);
     }
-    let mut got = Vec::new();
-    while got.len() < least {
-        got.extend(chunk(client).expect("no end yet"));
+    let mut received = Vec::new();
+    while received.len() < least {
+        received.extend(chunk(client).expect("no end yet"));
     }
-    got
+    received
 }
 
 fn read_rest(client: &mut BufReader<TcpStream>, left: usize, chunked: bool) -> Vec<u8> {
@@ -219,8 +219,8 @@
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_seen_to_be_broken() {
-    let (app, edge) = Raw::new();
+fn a_truncated_long_answer_is_recognisably_incomplete() {
+    let (app, edge) = RawAppServer::new();
     for framing in [format!("Content-Length: {LONG}"), "Transfer-Encoding: chunked".into()] {
         let mut client = connect(&edge);
         write(&mut client, ask("lookup", "l-1").text().as_bytes());
@@ -236,8 +236,8 @@
 }
 
 #[test]
-fn a_client_that_breaks_off_its_long_request_takes_no_server_out() {
-    let (app, edge) = Raw::new();
+fn an_aborted_long_request_ejects_no_server() {
+    let (app, edge) = RawAppServer::new();
     for number in 0..6 {
         let mut client = connect(&edge);
         write(&mut client, &long_ask(&format!("p-{number}"), &format!("Content-Length: {LONG}")));
@@ -260,9 +260,9 @@
 
 #[test]
 fn a_request_s_time_counts_from_its_last_byte() {
-    let (app, edge) = Raw::new();
+    let (app, edge) = RawAppServer::new();
     let mut client = connect(&edge);
-    let text = Ask { deadline_ms: 300, ..ask("post", "p-1") }.text();
+    let text = RequestSpec { deadline_ms: 300, ..ask("post", "p-1") }.text();
     let (head, body) = text.split_at(text.len() - 3);
     write(&mut client, head.as_bytes());
     // Longer than the client would wait for its answer.
@@ -278,8 +278,8 @@
 fn a_long_request_that_never_reached_a_server_goes_to_another() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let there = listener.local_addr().expect("an address");
-    let entries = [entry("s-1", nobody(), "a", "up"), entry("s-2", there, "a", "up")];
-    let (app, edge) = (Raw(listener), Edge::new(&config(&entries)));
+    let entries = [entry("s-1", refusing_address(), "a", "up"), entry("s-2", there, "a", "up")];
+    let (app, edge) = (RawAppServer(listener), Edge::new(&config(&entries)));
     for number in 0..3 {
         let mut client = connect(&edge);
         let sent = body(LONG);
@@ -294,8 +294,8 @@
 }
 
 #[test]
-fn a_long_request_takes_its_customer_s_place_from_its_last_byte_on() {
-    let (app, edge) = Raw::with(|config| {
+fn a_long_request_counts_for_concurrency_from_its_last_byte_on() {
+    let (app, edge) = RawAppServer::with(|config| {
         let plan = &mut config["settings"]["tariffs"][0];
         (plan["concurrency"], plan["excess_cost"]) = (1.into(), 1.0.into());
     });
@@ -305,7 +305,7 @@
     write(&mut client, &sent[..100_000]);
     let (mut at, _) = app.next();
     take(&mut at, 100_000);
-    // No server has it yet, and the only place is free.
+    // The request is not complete yet, so the plan's only slot is free.
     let mut other = connect(&edge);
     write(&mut other, ask("lookup", "l-1").text().as_bytes());
     let (mut there, _) = app.next();
@@ -321,9 +321,9 @@
 }
 
 #[test]
-fn one_long_body_too_many_is_turned_back_at_once_and_told_when_to_come() {
+fn a_long_body_beyond_the_memory_gets_503_with_retry_after() {
     // A quarter of 1 MiB is for bodies: eight of 32 KiB.
-    let (app, edge) = Raw::with(|config| config["limits"]["memory_mb"] = 1.into());
+    let (app, edge) = RawAppServer::with(|config| config["limits"]["memory_mb"] = 1.into());
     let begin = |name: &str| {
         let mut client = connect(&edge);
         write(&mut client, &long_ask(name, &format!("Content-Length: {LONG}")));
@@ -334,12 +334,12 @@
     let mut late = begin("p-8");
     let head = head_of(&mut late);
     assert!(head.starts_with("http/1.1 503") && head.contains("retry-after: 1\r\n"), "{head}");
-    // Short ones have the room that they need.
+    // Short bodies have the memory they need.
     let mut short = connect(&edge);
     write(&mut short, ask("post", "short").text().as_bytes());
     write(&mut app.next().0, DONE);
     assert!(head_of(&mut short).starts_with("http/1.1 200"));
-    // One ends, and its room is free.
+    // One completes and frees its memory.
     let (mut client, mut at) = stalled.remove(0);
     write(&mut client, &body(LONG)[1_000..]);
     take(&mut at, LONG);
@@ -347,19 +347,19 @@
     assert!(head_of(&mut client).starts_with("http/1.1 200"));
     assert_eq!(take(&mut client, 4), b"done");
     let _next = begin("p-9");
-    // On the connection that the first one left.
+    // On the connection that the first request used.
     assert!(head_of(&mut at).contains("x-request-id: p-9"));
 }
 
 #[test]
-fn what_is_taken_in_ahead_is_less_where_room_is_scarce() {
-    let (app, edge) = Raw::with(|config| config["limits"]["memory_mb"] = 1.into());
+fn less_is_buffered_where_memory_is_scarce() {
+    let (app, edge) = RawAppServer::with(|config| config["limits"]["memory_mb"] = 1.into());
     let mut client = connect(&edge);
     write(&mut client, &long_ask("p-1", "Transfer-Encoding: chunked"));
     let sent = body(40_000);
     write(&mut client, format!("{:x}\r\n", sent.len()).as_bytes());
     write(&mut client, &sent);
-    // Less than is taken in ahead elsewhere, and not all of it: it goes on all the same.
+    // Shorter than what is buffered where memory is ample, and incomplete: it is forwarded all the same.
     let (mut at, head) = app.next();
     assert!(head.contains("x-request-id: p-1"));
     write(&mut client, b"\r\n0\r\n\r\n");
@@ -369,11 +369,11 @@
     assert!(head_of(&mut client).starts_with("http/1.1 200"));
 }
 
-/// `cargo test --release -p pinerelay --test long -- --ignored --nocapture stalled` tells the most memory that it took.
+/// `cargo test --release -p pinerelay --test long -- --ignored --nocapture stalled` prints the peak memory.
 #[test]
 #[ignore = "a measurement"]
 fn stalled_bodies_and_the_memory_they_take() {
-    let (_app, edge) = Raw::with(|config| {
+    let (_app, edge) = RawAppServer::with(|config| {
         config["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 48, "sockets": 1024});
     });
     let before = edge.memory();
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -5,29 +5,29 @@
 use fakes::*;
 use serde_json::json;
 
-fn one() -> (App, Edge, Client) {
-    let app = App::new();
+fn one_server() -> (AppServer, Edge, Client) {
+    let app = AppServer::new();
     let edge = Edge::new(&config(&[entry("s-1", app.address, "a", "up")]));
     let client = edge.client();
     (app, edge, client)
 }
 
-fn two(second_zone: &str) -> (App, App, Edge, Client) {
-    let (a, b) = (App::new(), App::new());
+fn two_servers(second_zone: &str) -> (AppServer, AppServer, Edge, Client) {
+    let (a, b) = (AppServer::new(), AppServer::new());
     let entries = [entry("s-1", a.address, "a", "up"), entry("s-2", b.address, second_zone, "up")];
     let edge = Edge::new(&config(&entries));
     let client = edge.client();
     (a, b, edge, client)
 }
 
-/// Failed: neither served nor, by whoever's words, refused.
+/// Asserts that a request failed: neither served nor refused.
 fn assert_failed(answer: &Message) {
     assert!(answer.status() != 200 && !answer.refused(), "{}", answer.first);
 }
 
 #[test]
-fn an_address_of_nobody_is_given_to_no_other_peer() {
-    let address = nobody();
+fn a_refusing_address_is_not_assigned_to_another_peer() {
+    let address = refusing_address();
     let taken = std::net::TcpListener::bind(address).map_err(|e| e.kind());
     assert_eq!(taken.err(), Some(std::io::ErrorKind::AddrInUse));
     let met = std::net::TcpStream::connect(address).map_err(|e| e.kind());
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
-    let (app, _edge, mut client) = one();
+fn request_and_answer_are_forwarded_unchanged() {
+    let (app, _edge, mut client) = one_server();
     for class in ["lookup", "slip", "post"] {
         client.ask(&ask(class, &format!("id-{class}")));
         let seen = app.next();
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_and_not_called_refused() {
-    // Rows: an error; 503 without the word that it has not run; a break after the last byte; garbage; an
-    // answer that is not whole; one that says it is longer than any.
-    let ends: [fn(Seen); 6] = [
+fn an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() {
+    // Rows: an error; a 503 without `X-Not-Run`; a close after the request; garbage; an incomplete answer; an oversized
+    // content length.
+    let ends: [fn(ReceivedRequest); 6] = [
         |s| s.answer("500 Internal Server Error", "", ""),
         |s| s.answer("503 Service Unavailable", "", ""),
         |s| s.close(),
         |s| s.raw(b"\x00\xffgarbage\r\n\r\n"),
         |s| s.raw(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
-        |s| s.spoil(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"),
+        |s| s.send_partial(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"),
     ];
     for (number, end) in ends.into_iter().enumerate() {
-        let (a, b, _edge, mut client) = two("a");
+        let (a, b, _edge, mut client) = two_servers("a");
         client.ask(&ask("post", "p-1"));
         end(next_of(&[&a, &b]).1);
         let answer = client.answer();
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn what_is_safe_to_repeat_is_tried_at_another_server() {
-    let ends: [fn(Seen); 3] =
+fn a_safe_request_is_retried_at_another_server() {
+    let ends: [fn(ReceivedRequest); 3] =
         [|s| s.answer("500 Internal Server Error", "", ""), |s| s.close(), |s| s.raw(b"?\r\n\r\n")];
     for end in ends {
-        let (a, b, _edge, mut client) = two("a");
+        let (a, b, _edge, mut client) = two_servers("a");
         client.ask(&ask("lookup", "l-1"));
         let (first, seen) = next_of(&[&a, &b]);
         end(seen);
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn what_has_never_run_is_tried_again_even_if_unsafe() {
+fn an_unsafe_request_that_has_not_run_is_retried() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
-        let (a, b, _edge, mut client) = two("a");
+        let (a, b, _edge, mut client) = two_servers("a");
         client.ask(&ask("post", "p-1"));
         let (first, seen) = next_of(&[&a, &b]);
         seen.answer(status, "X-Not-Run: 1\r\n", "");
@@ -105,8 +105,8 @@
         assert_eq!(client.answer().body, b"ran once");
     }
     // A refused connection.
-    let app = App::new();
-    let entries = [entry("s-1", app.address, "a", "up"), entry("s-2", nobody(), "a", "up")];
+    let app = AppServer::new();
+    let entries = [entry("s-1", app.address, "a", "up"), entry("s-2", refusing_address(), "a", "up")];
     let edge = Edge::new(&config(&entries));
     for number in 0..4 {
         let mut client = edge.client();
@@ -120,8 +120,8 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
-    // Two zones of one server each: after the error only the same zone will do.
-    let (a, b, _edge, mut client) = two("b");
+    // Two zones of one server each: after the error only the same zone may be retried.
+    let (a, b, _edge, mut client) = two_servers("b");
     client.ask(&ask("slip", "k-1"));
     let (first, seen) = next_of(&[&a, &b]);
     seen.answer("500 Internal Server Error", "", "");
@@ -131,7 +131,7 @@
     assert_eq!(client.answer().body, b"once");
 
     // The window is over before the attempt ends.
-    let app = App::new();
+    let app = AppServer::new();
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["settings"]["classes"][1]["window"] = json!(1_000);
     let edge = Edge::new(&config);
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_kept_connection_that_the_server_has_closed_costs_no_request() {
-    let (app, _edge, mut client) = one();
+    let (app, _edge, mut client) = one_server();
     for number in 0..3 {
         client.ask(&ask("post", &format!("p-{number}")));
         app.next().answer("200 OK", "", "ok");
@@ -154,14 +154,14 @@
         for line in app.lines.lock().expect("no panic").drain(..) {
             line.shutdown(std::net::Shutdown::Both).expect("an open connection");
         }
-        // The server's side has ended, so its close is on the way before the next request is.
-        app.ended();
+        // The server has closed its side before the next request is sent.
+        app.expect_close();
     }
 }
 
 #[test]
-fn connections_that_break_everywhere_take_no_server_out() {
-    let (app, _edge, mut client) = one();
+fn broken_connections_at_every_server_eject_none() {
+    let (app, _edge, mut client) = one_server();
     for number in 0..5 {
         client.ask(&ask("lookup", &format!("l-{number}")));
         app.next().close();
@@ -171,7 +171,7 @@
     client.ask(&ask("post", "p-1"));
     app.next().close();
     assert_failed(&client.answer());
-    // Past a first ejection, after which a server that is not trusted gets nothing unsafe.
+    // Longer than a first ejection, after which an untrusted server gets no unsafe requests.
     std::thread::sleep(std::time::Duration::from_millis(500));
     client.ask(&ask("post", "p-2"));
     app.next().answer("200 OK", "", "ok");
@@ -180,7 +180,7 @@
 
 #[test]
 fn connections_that_break_once_they_have_stood_idle_are_not_used_again() {
-    let (app, _edge, mut client) = one();
+    let (app, _edge, mut client) = one_server();
     let opened = || app.lines.lock().expect("no panic").len();
     let mut lost = 0;
     for number in 0..20 {
@@ -206,12 +206,12 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_removed_server() {
     for status in ["draining", "removed"] {
-        let (a, b) = (App::new(), App::new());
-        let lists = Lists::new();
+        let (a, b) = (AppServer::new(), AppServer::new());
+        let lists = DiscoveryServer::new();
         let mut config = config(&[entry("s-1", a.address, "a", "up"), entry("s-2", b.address, "a", "up")]);
         config["discovery"] = json!(lists.address.to_string());
         let edge = Edge::new(&config);
-        lists.push(entry("s-1", a.address, "a", status));
+        lists.publish_and_wait(entry("s-1", a.address, "a", status));
         let mut client = edge.client();
         for number in 0..12 {
             client.ask(&ask("lookup", &format!("l-{number}")));
@@ -220,9 +220,9 @@
         }
         a.no_request();
         // It comes back at another address.
-        let c = App::new();
-        lists.push(entry("s-1", c.address, "a", "up"));
-        lists.push(entry("s-2", b.address, "a", status));
+        let c = AppServer::new();
+        lists.publish_and_wait(entry("s-1", c.address, "a", "up"));
+        lists.publish_and_wait(entry("s-2", b.address, "a", status));
         client.ask(&ask("lookup", "back"));
         c.next().answer("200 OK", "", "ok");
         assert_eq!(client.answer().status(), 200);
@@ -231,17 +231,17 @@
 
 #[test]
 fn discovery_may_break_and_is_watched_anew() {
-    let (a, b) = (App::new(), App::new());
-    let lists = Lists::new();
+    let (a, b) = (AppServer::new(), AppServer::new());
+    let lists = DiscoveryServer::new();
     let mut config = config(&[entry("s-1", a.address, "a", "up"), entry("s-2", b.address, "a", "up")]);
     config["discovery"] = json!(lists.address.to_string());
     let edge = Edge::new(&config);
     lists.watched();
     lists.break_all();
-    lists.push(entry("s-1", a.address, "a", "draining"));
+    lists.publish_and_wait(entry("s-1", a.address, "a", "draining"));
     lists.break_all();
-    // A malformed entry hides no other.
-    lists.push(json!({"name": 7}));
+    // A malformed entry does not invalidate others.
+    lists.publish_and_wait(json!({"name": 7}));
     let mut client = edge.client();
     for number in 0..8 {
         client.ask(&ask("post", &format!("p-{number}")));
@@ -253,16 +253,16 @@
 
 #[test]
 fn a_watch_that_stays_silent_is_given_up_for_a_new_one() {
-    let (a, b) = (App::new(), App::new());
-    let lists = Lists::new();
+    let (a, b) = (AppServer::new(), AppServer::new());
+    let lists = DiscoveryServer::new();
     lists.mute(true);
     let mut config = config(&[entry("s-1", a.address, "a", "up"), entry("s-2", b.address, "a", "up")]);
     config["discovery"] = json!(lists.address.to_string());
     let edge = Edge::new(&config);
     lists.watched();
-    // The first watch stays without an answer for ever, as on a connection whose other end has vanished.
+    // The first watch is never answered, as on a connection whose peer has vanished.
     lists.mute(false);
-    lists.push(entry("s-1", a.address, "a", "draining"));
+    lists.publish_and_wait(entry("s-1", a.address, "a", "draining"));
     let mut client = edge.client();
     for number in 0..8 {
         client.ask(&ask("post", &format!("p-{number}")));
@@ -273,30 +273,30 @@
 }
 
 #[test]
-fn what_is_unanswered_fails_before_the_client_gives_up() {
-    let (app, _edge, mut client) = one();
+fn an_unanswered_request_fails_before_the_clients_deadline() {
+    let (app, _edge, mut client) = one_server();
     let begun = std::time::Instant::now();
-    client.ask(&Ask { deadline_ms: 1_500, ..ask("post", "p-1") });
+    client.ask(&RequestSpec { deadline_ms: 1_500, ..ask("post", "p-1") });
     let _held = app.next();
     let answer = client.answer();
     assert_failed(&answer);
     assert!(begun.elapsed().as_millis() >= 1_000, "given up early: {:?}", begun.elapsed());
-    // The attempt was given up by closing its connection.
-    app.ended();
+    // The attempt was abandoned by closing its connection.
+    app.expect_close();
 }
 
 #[test]
 fn a_client_that_goes_away_leaves_nothing_behind() {
-    let (app, edge, mut client) = one();
+    let (app, edge, mut client) = one_server();
     client.ask(&ask("post", "p-1"));
     let seen = app.next();
-    // Danger: the same id while the first is in work would run twice.
+    // Danger: a second request with the id of an open one would run twice.
     let mut other = edge.client();
     other.ask(&ask("post", "p-1"));
     assert_failed(&other.answer());
     drop(client);
     seen.answer("200 OK", "", "for nobody");
-    // Once the attempt has ended the id is free again, so nothing is kept of the request.
+    // Once the attempt has ended the id is free again, so no state of the request is left.
     for _ in 0..1_000 {
         other.ask(&ask("post", "p-1"));
         let (_, again) = match app_or_answer(&app, &mut other) {
@@ -310,8 +310,8 @@
     panic!("the id is still in use");
 }
 
-/// The request at the app server, or none if the client was told that the id is in use.
-fn app_or_answer(app: &App, client: &mut Client) -> Option<Seen> {
+/// The request at the app server; `None` if the client was answered that the id is in use.
+fn app_or_answer(app: &AppServer, client: &mut Client) -> Option<ReceivedRequest> {
     match app.poll() {
         Some(seen) => Some(seen),
         None => {
@@ -323,19 +323,19 @@
 
 #[test]
 fn the_counter_may_be_busy_silent_or_broken() {
-    let ends: [fn(Called); 4] =
+    let ends: [fn(CounterCall); 4] =
         [|mut c| c.raw("-BUSY\r\n"), |c| c.close(), |mut c| c.raw("-ERR no such call\r\n"), drop];
     for end in ends {
-        let (app, counts) = (App::new(), Counts::new());
+        let (app, counts) = (AppServer::new(), CounterServer::new());
         let mut config = config(&[entry("s-1", app.address, "a", "up")]);
         config["counter"] = json!(counts.address.to_string());
         let edge = Edge::new(&config);
         let mut client = edge.client();
-        client.ask(&Ask { plan: "paid", ..ask("post", "p-1") });
+        client.ask(&RequestSpec { plan: "paid", ..ask("post", "p-1") });
         let call = counts.next();
         assert!(call.amount > 0.0 && call.name.len() <= 64);
         end(call);
-        // Without an answer the node spends its even share.
+        // Without an answer the node serves from its even share.
         app.next().answer("200 OK", "", "ok");
         assert_eq!(client.answer().status(), 200);
     }
@@ -343,36 +343,36 @@
 
 #[test]
 fn a_late_answer_of_the_counter_is_dropped_and_the_next_is_its_own_call_s() {
-    let (app, counts) = (App::new(), Counts::new());
+    let (app, counts) = (AppServer::new(), CounterServer::new());
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["counter"] = json!(counts.address.to_string());
     let edge = Edge::new(&config);
     let mut client = edge.client();
-    client.ask(&Ask { plan: "paid", ..ask("post", "p-1") });
+    client.ask(&RequestSpec { plan: "paid", ..ask("post", "p-1") });
     let mut late = counts.next();
     // Served on the even share once the call has timed out; only then does the counter answer.
     app.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
-    // A total that says that nothing is left: heeded, it would have the next requests refused.
+    // A total that leaves no quota; if it were applied, the next requests would be refused.
     late.total(1e6);
     let mut number = 1;
     let mut next = loop {
-        // The node rests from the counter for a while and goes on with its share.
-        client.ask(&Ask { plan: "paid", ..ask("post", &format!("q-{number}")) });
+        // The node suspends calls to the counter for a while and serves from its share.
+        client.ask(&RequestSpec { plan: "paid", ..ask("post", &format!("q-{number}")) });
         number += 1;
         match client_or_call(&app, &counts, &mut client) {
             Some(call) => break call,
             None => std::thread::sleep(std::time::Duration::from_millis(50)),
         }
     };
-    // Its name is another one if a window of 30 s has ended between the two.
+    // The count's name differs if a window of 30 s has ended between the two calls.
     next.total(next.amount);
     app.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
 }
 
-/// The call that a request has led to; none if it was answered without one.
-fn client_or_call(app: &App, counts: &Counts, client: &mut Client) -> Option<Called> {
+/// The counter call that a request caused; `None` if it was answered without one.
+fn client_or_call(app: &AppServer, counts: &CounterServer, client: &mut Client) -> Option<CounterCall> {
     for _ in 0..30_000 {
         if let Some(call) = counts.poll() {
             return Some(call);
@@ -392,7 +392,7 @@
 
 #[test]
 fn malformed_requests_get_400_and_reach_nobody() {
-    let (app, edge, _client) = one();
+    let (app, edge, _client) = one_server();
     let good = ask("post", "p-1").text();
     let swaps = [
         ("X-Request-Id: p-1\r\n", ""),
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_the_node_with_one_plain_line() {
+fn an_invalid_configuration_fails_the_start_with_one_log_line() {
     let change = |key: &str, value: &str| {
         let mut config = config(&[]);
         config[key] = json!(value);
@@ -466,20 +466,20 @@
         change("listen", &taken.0.to_string()),
     ];
     for config in bad {
-        let (status, said) = start_badly(&config);
+        let (status, log_text) = failed_start(&config);
         assert!(!status.success());
-        assert!(said.starts_with("pinerelay: ") && said.lines().count() == 1, "{said}");
+        assert!(log_text.starts_with("pinerelay: ") && log_text.lines().count() == 1, "{log_text}");
     }
 }
 
 #[test]
-fn a_planned_stop_answers_what_was_taken_and_what_still_comes() {
-    let (app, edge, mut client) = one();
+fn a_planned_stop_answers_open_and_new_requests() {
+    let (app, edge, mut client) = one_server();
     let mut later = edge.client();
     client.ask(&ask("post", "p-1"));
     let held = app.next();
     edge.terminate();
-    // Still taken, on a connection that was open and on new ones, until one is told to close.
+    // Requests are still accepted on open and new connections, until an answer announces the close.
     let mut rest = loop {
         later.ask(&ask("post", "p-2"));
         let second = app.next();
@@ -497,18 +497,18 @@
     assert_eq!(new.answer().status(), 200);
     held.answer("200 OK", "", "held");
     assert_eq!(client.answer().body, b"held");
-    let (status, said) = edge.end();
-    assert!(status.success(), "{said}");
+    let (status, log_text) = edge.end();
+    assert!(status.success(), "{log_text}");
 }
 
 #[test]
 fn a_planned_stop_hands_the_lease_back() {
-    let (app, counts) = (App::new(), Counts::new());
+    let (app, counts) = (AppServer::new(), CounterServer::new());
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["counter"] = json!(counts.address.to_string());
     let edge = Edge::new(&config);
     let mut client = edge.client();
-    client.ask(&Ask { plan: "paid", ..ask("post", "p-1") });
+    client.ask(&RequestSpec { plan: "paid", ..ask("post", "p-1") });
     let mut call = counts.next();
     let leased = call.amount;
     assert!(leased > 1.0);
@@ -517,7 +517,7 @@
     app.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
     edge.terminate();
-    // Whatever else is told to the counter, what comes back in the end is the lease less the request.
+    // Whatever else the counter receives, finally the lease less the request is returned.
     let back = loop {
         let mut call = counts.next();
         total += call.amount;
@@ -533,7 +533,7 @@
 #[test]
 fn a_planned_stop_does_not_wait_for_a_silent_server_for_ever() {
     // Danger: the machine is killed 3.7 s after SIGTERM, and what is unanswered by then is lost.
-    let (app, edge, mut client) = one();
+    let (app, edge, mut client) = one_server();
     client.ask(&ask("post", "p-1"));
     let _held = app.next();
     edge.terminate();
@@ -542,8 +542,8 @@
 }
 
 #[test]
-fn with_few_descriptors_idle_connections_make_room_and_nothing_is_lost() {
-    let app = App::new();
+fn with_few_descriptors_idle_connections_are_closed_and_no_request_is_lost() {
+    let app = AppServer::new();
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["limits"]["sockets"] = json!(40);
     let edge = Edge::new(&config);
@@ -557,8 +557,8 @@
         idle.push(client);
     }
     drop(idle);
-    // More at once than there is room for: those beyond wait in the backlog, and are served as soon as one
-    // of the earlier has its answer and stands idle, though it stays open.
+    // More clients than descriptors: the surplus waits in the backlog, and is served as soon as an earlier one has its
+    // answer and is idle, though still connected.
     let mut clients: Vec<Client> = (0..20).map(|_| edge.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.ask(&ask("post", &format!("p-{number}")));
@@ -572,8 +572,8 @@
 }
 
 #[test]
-fn clients_that_never_end_their_request_make_room() {
-    let app = App::new();
+fn clients_that_never_complete_a_request_lose_their_descriptor() {
+    let app = AppServer::new();
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["limits"]["sockets"] = json!(40);
     let edge = Edge::new(&config);
@@ -588,19 +588,19 @@
 
 #[test]
 fn a_new_configuration_moves_discovery_and_the_counter() {
-    let (a, b) = (App::new(), App::new());
-    let (old, old_counts, counts) = (Lists::new(), Counts::new(), Counts::new());
+    let (a, b) = (AppServer::new(), AppServer::new());
+    let (old, old_counts, counts) = (DiscoveryServer::new(), CounterServer::new(), CounterServer::new());
     let mut config = config(&[entry("s-1", a.address, "a", "up")]);
     config["discovery"] = json!(old.address.to_string());
     config["counter"] = json!(old_counts.address.to_string());
     let mut edge = Edge::new(&config);
     old.watched();
-    // A call under way on the old counter ends there, though the node has moved meanwhile.
+    // A call in flight at the old counter completes there, though the node has moved meanwhile.
     let mut client = edge.client();
-    client.ask(&Ask { plan: "paid", ..ask("post", "p-1") });
+    client.ask(&RequestSpec { plan: "paid", ..ask("post", "p-1") });
     let mut call = old_counts.next();
-    // The new agent's versions are its own and lower; its list names another app server.
-    let new = Lists::holding(0, &[entry("s-2", b.address, "a", "up")]);
+    // The new agent's versions are unrelated and lower; its list has another app server.
+    let new = DiscoveryServer::with_snapshot(0, &[entry("s-2", b.address, "a", "up")]);
     config["discovery"] = json!(new.address.to_string());
     config["counter"] = json!(counts.address.to_string());
     edge.reload(&config.to_string());
@@ -608,8 +608,8 @@
     call.total(call.amount);
     b.next().answer("200 OK", "", "moved");
     assert_eq!(client.answer().body, b"moved");
-    // Units that the lease does not hold are asked for at the new counter.
-    let mut text = Ask { plan: "paid", ..ask("post", "p-2") }.text();
+    // Units beyond the lease are requested from the new counter.
+    let mut text = RequestSpec { plan: "paid", ..ask("post", "p-2") }.text();
     text = text.replace("key=0000000000000007", "key=0000000000000008");
     client.raw(&text);
     let mut call = counts.next();
@@ -618,13 +618,13 @@
     assert_eq!(client.answer().status(), 200);
     assert!(old_counts.poll().is_none(), "a call at the old counter");
 
-    // No configuration: one line each, and all goes on as before. The same one again changes nothing.
+    // Invalid files: one log line each, and nothing changes. Neither does the same configuration again.
     for bad in ["{", "{\"discovery\":\"nowhere\"}"] {
         edge.reload(bad);
-        assert!(edge.says().starts_with("pinerelay: the old configuration stays: "));
+        assert!(edge.next_log_line().starts_with("pinerelay: the old configuration stays: "));
     }
     edge.reload(&config.to_string());
-    new.push(entry("s-2", b.address, "a", "up"));
+    new.publish_and_wait(entry("s-2", b.address, "a", "up"));
     client.ask(&ask("post", "p-3"));
     b.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
@@ -636,17 +636,17 @@
 
 #[test]
 fn a_total_that_cannot_be_read_is_read_again_and_nothing_added_twice() {
-    for spoilt in ["$3\r\nabc\r\n", "noise without an end", "$5\r\n1"] {
-        let (app, counts) = (App::new(), Counts::new());
+    for malformed in ["$3\r\nabc\r\n", "noise without an end", "$5\r\n1"] {
+        let (app, counts) = (AppServer::new(), CounterServer::new());
         let mut config = config(&[entry("s-1", app.address, "a", "up")]);
         config["counter"] = json!(counts.address.to_string());
         let edge = Edge::new(&config);
         let mut client = edge.client();
-        client.ask(&Ask { plan: "paid", ..ask("post", "p-1") });
+        client.ask(&RequestSpec { plan: "paid", ..ask("post", "p-1") });
         let mut call = counts.next();
         let (name, amount) = (call.name.clone(), call.amount);
-        call.raw(spoilt);
-        // On a new connection, since the old one is of no further use.
+        call.raw(malformed);
+        // On a new connection, since the old one can't be used any more.
         let mut again = counts.next();
         assert_eq!((&again.name, again.amount), (&name, 0.0));
         again.total(amount);
@@ -657,24 +657,24 @@
 
 #[test]
 fn a_call_that_broke_is_granted_only_if_the_total_tells_that_it_was_added() {
-    // Whether it was added; or others drew as well, and nothing can be told.
+    // Added; not added; or others drew as well, and it can't be determined.
     for (part, granted) in [(1.0, true), (0.0, false), (1.5, false)] {
-        let (app, counts) = (App::new(), Counts::new());
+        let (app, counts) = (AppServer::new(), CounterServer::new());
         let mut config = config(&[entry("s-1", app.address, "a", "up")]);
         config["counter"] = json!(counts.address.to_string());
         let edge = Edge::new(&config);
         let mut client = edge.client();
-        client.ask(&Ask { plan: "paid", ..ask("post", "p-1") });
+        client.ask(&RequestSpec { plan: "paid", ..ask("post", "p-1") });
         let call = counts.next();
         let (name, amount) = (call.name.clone(), call.amount);
         assert!(amount > 0.0);
         call.close();
-        // At once: a break is no silence.
+        // At once: a closed connection is not a timeout.
         let mut read = counts.next();
         assert_eq!((&read.name, read.amount), (&name, 0.0));
         read.total(amount * part);
         if !granted {
-            // What was not granted is asked for anew.
+            // Units that were not granted are requested again.
             let mut anew = counts.next();
             assert!(anew.amount > 0.0);
             app.no_request();
@@ -688,7 +688,7 @@
 
 #[test]
 fn a_connection_to_the_counter_that_falls_silent_is_soon_replaced() {
-    let (app, counts) = (App::new(), Counts::new());
+    let (app, counts) = (AppServer::new(), CounterServer::new());
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["counter"] = json!(counts.address.to_string());
     config["settings"]["domain"]["count_wait"] = json!(20_000);
@@ -696,8 +696,8 @@
     let mut client = edge.client();
     let mut calls = Vec::new();
     for number in 0.. {
-        client.ask(&Ask { plan: "paid", ..ask("post", &format!("p-{number}")) });
-        // The node rests from the counter after each call without an answer.
+        client.ask(&RequestSpec { plan: "paid", ..ask("post", &format!("p-{number}")) });
+        // The node suspends calls to the counter after each call without an answer.
         if let Some(call) = client_or_call(&app, &counts, &mut client) {
             calls.push(call);
             if calls.len() == 4 {
@@ -716,7 +716,7 @@
 
 #[test]
 fn a_request_that_may_hide_another_is_refused_and_nothing_behind_it_is_read() {
-    let (app, edge, _client) = one();
+    let (app, edge, _client) = one_server();
     let hidden = ask("post", "hidden").text();
     let chunks = format!("0\r\n\r\n{hidden}");
     let both = [
@@ -737,7 +737,7 @@
     assert_eq!(client.answer().status(), 400);
     client.rest();
     app.no_request();
-    // Absolute form goes on in origin form.
+    // A target in absolute form is forwarded in origin form.
     let mut client = edge.client();
     client.raw(&ask("lookup", "l-2").text().replace("GET /", "GET http://service.internal/"));
     let seen = app.next();
@@ -748,7 +748,7 @@
 
 #[test]
 fn a_client_that_does_not_finish_its_request_is_turned_away_in_time() {
-    let (app, edge, mut kept) = one();
+    let (app, edge, mut kept) = one_server();
     let text = ask("post", "p-1").text();
     kept.ask(&ask("lookup", "l-1"));
     app.next().answer("200 OK", "", "ok");
@@ -763,7 +763,7 @@
     for client in [silent, half, kept, body] {
         assert_eq!(client.rest(), "");
     }
-    // A huge body is not waited for.
+    // An oversized body is rejected without reading it.
     let mut huge = edge.client();
     huge.raw(&text.replace("Content-Length: 5", "Content-Length: 60000000"));
     assert_eq!(huge.answer().status(), 413);
@@ -772,8 +772,8 @@
 }
 
 #[test]
-fn silent_connections_keep_nobody_out() {
-    let app = App::new();
+fn silent_connections_block_no_client() {
+    let app = AppServer::new();
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     config["limits"]["sockets"] = json!(40);
     let edge = Edge::new(&config);
@@ -783,7 +783,7 @@
     assert_eq!(usual.answer().status(), 200);
     let mut silent = Vec::new();
     for number in 0..5 {
-        // Each time more of them than there are descriptors; the connection in use outlives them all.
+        // Each time more silent clients than descriptors; the connection in use stays open.
         silent.extend((0..30).map(|_| edge.client()));
         let mut new = edge.client();
         for client in [&mut usual, &mut new] {
@@ -796,7 +796,7 @@
 
 #[test]
 fn requests_that_are_never_answered_do_not_look_like_a_full_fleet() {
-    let app = App::new();
+    let app = AppServer::new();
     let mut config = config(&[entry("s-1", app.address, "a", "up")]);
     for class in config["settings"]["classes"].as_array_mut().expect("classes") {
         class["on_time"] = json!(2_000_000);
@@ -817,7 +817,7 @@
         client.ask(&ask("lookup", &format!("l-{number}")));
         while !client.has_answer() {
             if let Some(seen) = app.poll_once() {
-                // How long a request works there.
+                // The service time of a request.
                 std::thread::sleep(std::time::Duration::from_millis(100));
                 seen.answer("200 OK", "", "ok");
             }
@@ -829,9 +829,9 @@
 }
 
 #[test]
-fn a_spoilt_answer_fails_at_once_and_its_server_stays_in_use() {
+fn a_malformed_answer_fails_at_once_and_its_server_stays_in_use() {
     let endless = format!("HTTP/1.1 200 OK\r\n{}", "X-More: and more\r\n".repeat(4_000));
-    let spoilt: [&[u8]; 10] = [
+    let malformed: [&[u8]; 10] = [
         b"\x00\xffnoise\r\n\r\n",
         b"HTTP/1.1 two hundred\r\n\r\n",
         endless.as_bytes(),
@@ -843,31 +843,31 @@
         b"HTTP/1.1 200 OK\r\n\r\nwithout a length",
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
     ];
-    let (app, _edge, mut client) = one();
-    for (number, bytes) in spoilt.into_iter().enumerate() {
+    let (app, _edge, mut client) = one_server();
+    for (number, bytes) in malformed.into_iter().enumerate() {
         client.ask(&ask("post", &format!("p-{number}")));
         let seen = app.next();
         assert_eq!(seen.id(), format!("p-{number}"), "the server is out of use");
-        seen.spoil(bytes);
+        seen.send_partial(bytes);
         assert_failed(&client.answer());
     }
-    // Short of its length; nothing more comes, though the connection stays open.
+    // Shorter than its length; nothing more arrives, though the connection stays open.
     client.ask(&ask("lookup", "l-1"));
-    app.next().spoil(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+    app.next().send_partial(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
     app.next().answer("200 OK", "", "again");
     assert_eq!(client.answer().body, b"again");
 }
 
 #[test]
-fn what_comes_with_a_good_answer_harms_neither_it_nor_the_next() {
-    let (app, _edge, mut client) = one();
+fn extra_bytes_around_a_valid_answer_harm_neither_it_nor_the_next() {
+    let (app, _edge, mut client) = one_server();
     let good = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let hints = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
     for (number, (ahead, behind)) in
         [("", good("first")), ("", "noise".into()), (hints, String::new())].into_iter().enumerate()
     {
         client.ask(&ask("post", &format!("p-{number}")));
-        app.next().spoil(format!("{ahead}{}{behind}", good("first")).as_bytes());
+        app.next().send_partial(format!("{ahead}{}{behind}", good("first")).as_bytes());
         assert_eq!(client.answer().body, b"first");
         client.ask(&ask("post", &format!("q-{number}")));
         app.next().answer("200 OK", "", "second");
@@ -877,27 +877,27 @@
 
 #[test]
 fn a_removed_server_is_forgotten_but_not_the_group_of_what_ran_there() {
-    let (a, b, c) = (App::new(), App::new(), App::new());
-    let lists = Lists::new();
+    let (a, b, c) = (AppServer::new(), AppServer::new(), AppServer::new());
+    let lists = DiscoveryServer::new();
     let mut config = config(&[entry("s-1", a.address, "a", "up")]);
     config["discovery"] = json!(lists.address.to_string());
     let edge = Edge::new(&config);
     let mut client = edge.client();
-    // A broken connection puts the server out of use. It is removed and comes back as a new one.
+    // A broken connection ejects the server. It is removed and listed again as a new one.
     client.ask(&ask("post", "p-1"));
     a.next().close();
     assert_failed(&client.answer());
-    lists.push(entry("s-1", a.address, "a", "removed"));
-    lists.push(entry("s-1", a.address, "a", "up"));
+    lists.publish_and_wait(entry("s-1", a.address, "a", "removed"));
+    lists.publish_and_wait(entry("s-1", a.address, "a", "up"));
     client.ask(&ask("post", "p-2"));
     a.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
-    // Removed while a keyed request is there, which may have run: another try stays in its zone.
+    // Removed while it has a keyed request, which may have run: a retry stays in its zone.
     client.ask(&ask("slip", "k-1"));
     let seen = a.next();
-    lists.push(entry("s-2", b.address, "b", "up"));
-    lists.push(entry("s-3", c.address, "a", "up"));
-    lists.push(entry("s-1", a.address, "a", "removed"));
+    lists.publish_and_wait(entry("s-2", b.address, "b", "up"));
+    lists.publish_and_wait(entry("s-3", c.address, "a", "up"));
+    lists.publish_and_wait(entry("s-1", a.address, "a", "removed"));
     seen.answer("500 Internal Server Error", "", "");
     c.next().answer("200 OK", "", "once");
     assert_eq!(client.answer().body, b"once");
@@ -906,7 +906,7 @@
 
 #[test]
 fn a_new_server_at_an_old_address_gets_no_old_connection() {
-    let (a, lists) = (App::new(), Lists::new());
+    let (a, lists) = (AppServer::new(), DiscoveryServer::new());
     let mut config = config(&[entry("s-1", a.address, "a", "up")]);
     config["discovery"] = json!(lists.address.to_string());
     let edge = Edge::new(&config);
@@ -914,21 +914,21 @@
     client.ask(&ask("post", "p-1"));
     a.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
-    // The new one is told of before the old one's end.
-    lists.push(entry("s-2", a.address, "a", "up"));
-    a.ended();
-    lists.push(entry("s-1", a.address, "a", "removed"));
+    // The new server is listed before the old one is removed.
+    lists.publish_and_wait(entry("s-2", a.address, "a", "up"));
+    a.expect_close();
+    lists.publish_and_wait(entry("s-1", a.address, "a", "removed"));
     client.ask(&ask("post", "p-2"));
     a.next().answer("200 OK", "", "ok");
     assert_eq!(client.answer().status(), 200);
 }
 
 #[test]
-fn with_no_server_a_request_is_answered_by_half_of_its_time() {
+fn without_a_server_a_request_is_refused_before_its_deadline() {
     let edge = Edge::new(&config(&[]));
     let mut client = edge.client();
     let begun = std::time::Instant::now();
-    client.ask(&Ask { deadline_ms: 16_000, ..ask("post", "p-1") });
+    client.ask(&RequestSpec { deadline_ms: 16_000, ..ask("post", "p-1") });
     assert!(client.answer().refused());
     assert!(begun.elapsed().as_millis() < 12_000, "{:?}", begun.elapsed());
 }
