--- a/crates/credit/src/account.rs
+++ b/crates/credit/src/account.rs
@@ -16,8 +16,9 @@
 pub const BLOCK_LIFETIME: Micros = 1_000_000;
 /// A block is settled this long after its lifetime (counted from its lease), when all reports are expected to have arrived.
 pub const SETTLEMENT_MARGIN: Micros = 300_000;
-/// A proxy may spend one in this many parts of a block, but at least one request, ahead of what is acknowledged.
-const UNACKNOWLEDGED_DIVISOR: Credits = 8;
+/// A new block's ceiling is its amount divided by this, but at least what one request needs: the most that its holder may spend
+/// before a majority of its backups, or the core, has acknowledged a report.
+const FIRST_CEILING_DIVISOR: Credits = 8;
 
 /// How a block ended. A later variant replaces an earlier one when replicas merge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
@@ -34,7 +35,7 @@
     },
     /// An operator decided how much of the unsettled amount is charged.
     Resolved {
-        /// Micro-credits charged in all: settled before, and by the operator.
+        /// Micro-credits charged in all: those known to be debited before the decision, and those that the operator charged.
         debited: Credits,
     },
 }
@@ -128,8 +129,8 @@
     #[error("the balance would overflow")]
     Overflow,
     /// The block is unknown, has nothing unsettled, or less than the amount to be charged.
-    #[error("the amount exceeds what is unsettled of the block")]
-    NotUnsettled,
+    #[error("the block is unknown, has nothing unsettled, or less than the amount to be charged")]
+    ExceedsUnsettled,
 }
 
 /// Totals in micro-credits: `refilled` is the sum of the others, except in a replica that lacks a refill.
@@ -139,11 +140,11 @@
     pub refilled: Credits,
     /// Available for leases.
     pub balance: Credits,
-    /// Leased to proxies.
+    /// Leased to proxies in blocks that have not ended, without the debits known to this replica.
     pub leased: Credits,
-    /// Debited.
+    /// Debited from blocks, as far as this replica knows, including what operators charged.
     pub settled: Credits,
-    /// Reserved, as it is unknown whether it was debited.
+    /// Of lost blocks: up to their ceilings, what is not known to be debited. It stays reserved until it is reported or resolved.
     pub unsettled: Credits,
 }
 
@@ -152,13 +153,13 @@
 pub enum StatementReason {
     /// A refill of this id.
     Refill(String),
-    /// Leased as this block.
+    /// Leased as this block, which has not ended, and not known to be debited.
     Leased(BlockId),
-    /// Debited from this block.
+    /// Debited from this block, including what an operator charged.
     Settled(BlockId),
     /// Returned from this block. It doesn't change the balance: the returned part no longer counts as leased.
     Returned(BlockId),
-    /// Reserved, as it is not known whether it was debited.
+    /// Reserved of this lost block, as it is not known whether it was debited.
     Unsettled(BlockId),
 }
 
@@ -167,7 +168,7 @@
 pub struct StatementLine {
     /// The reason of the change.
     pub reason: StatementReason,
-    /// The amount in micro-credits.
+    /// The micro-credits that were refilled, leased, debited, returned or reserved; above 0 in every line.
     pub amount: Credits,
     /// The change of the balance in micro-credits. The sum over all lines is the balance.
     pub change: i128,
@@ -296,7 +297,7 @@
         }
         let fair_share = balance / (2 * proxies.max(1) as Credits);
         let amount = request.wanted.max(needed).min(fair_share.max(needed));
-        let ceiling = (amount / UNACKNOWLEDGED_DIVISOR).max(needed);
+        let ceiling = (amount / FIRST_CEILING_DIVISOR).max(needed);
         let id = self.next_block_id(fencing_token);
         let block = Block {
             id,
@@ -353,18 +354,18 @@
     /// Applies an operator's decision on a block's unsettled amount: `charged` micro-credits are charged, the rest is returned.
     ///
     /// # Errors
-    /// [`AccountError::NotUnsettled`].
+    /// [`AccountError::ExceedsUnsettled`].
     pub fn resolve(&mut self, id: BlockId, charged: Credits) -> Result<Record, AccountError> {
-        let block = self.blocks.get_mut(&id).ok_or(AccountError::NotUnsettled)?;
+        let block = self.blocks.get_mut(&id).ok_or(AccountError::ExceedsUnsettled)?;
         let BlockParts { settled, unsettled, .. } = block.parts();
         if unsettled == 0 || charged > unsettled {
-            return Err(AccountError::NotUnsettled);
+            return Err(AccountError::ExceedsUnsettled);
         }
         block.end = Some(BlockEnd::Resolved { debited: settled + charged });
         Ok(Record::Block(block.clone()))
     }
 
-    /// The totals.
+    /// The totals of all refills and granted blocks.
     pub fn totals(&self) -> Totals {
         let mut totals = Totals { refilled: self.refills.values().sum(), ..Totals::default() };
         for (_, parts) in self.granted_blocks() {
@@ -378,7 +379,8 @@
         totals
     }
 
-    /// Every change of the balance with its reason. The sum is the balance; it is negative only in a replica that lacks a refill.
+    /// The refills, and each granted block's micro-credits by state. The sum of the changes is the balance; it is
+    /// negative only in a replica that lacks a refill.
     pub fn statement(&self) -> Vec<StatementLine> {
         let refills = self.refills.iter();
         let mut lines: Vec<StatementLine> = refills
--- a/crates/credit/src/credit_cache.rs
+++ b/crates/credit/src/credit_cache.rs
@@ -10,7 +10,8 @@
 
 /// How often debits are reported.
 pub const REPORT_INTERVAL: Micros = 20_000;
-/// Once a debit has not been acknowledged for this long, nothing more is spent from its block.
+/// Once a debit has been unacknowledged by the core and a majority of the backups for this long, no more credit of its block is
+/// reserved.
 pub const MAX_UNACKNOWLEDGED: Micros = 250_000;
 /// A block that has not been used for this long is returned.
 pub const IDLE_TIMEOUT: Micros = 300_000;
@@ -35,6 +36,7 @@
 /// Debits that are not in a batch yet.
 #[derive(Debug, Clone, Copy)]
 struct FreshDebits {
+    /// When the first of them was made.
     since: Micros,
     amount: i64,
 }
@@ -42,6 +44,7 @@
 /// A batch that the core has not acknowledged.
 #[derive(Debug, Clone, Copy)]
 struct OpenBatch {
+    /// When its first debit was made.
     since: Micros,
     amount: i64,
 }
@@ -69,15 +72,18 @@
     ceiling: Credits,
     /// The number of unfinished requests that it pays for.
     open_requests: u32,
+    /// When credit of it was last reserved; at first, when it was granted.
     last_used: Micros,
+    /// The number of the next batch.
     next_batch: u32,
+    /// The sequence number of the last report.
     last_sequence: u64,
     fresh: Option<FreshDebits>,
     open_batches: BTreeMap<u32, OpenBatch>,
     /// A majority of the backups, or the core, has all batches below this number.
     backed_up_below: u32,
     open_reports: BTreeMap<u64, OpenReport>,
-    /// Nothing more is spent of it.
+    /// No more credit is reserved from it; it is returned once its open requests have ended.
     is_closing: bool,
 }
 
@@ -109,7 +115,7 @@
         self.grant.amount - self.reserved
     }
 
-    /// The time of the oldest debit that a majority of the backups has not acknowledged.
+    /// The time of the oldest debit that neither the core nor a majority of the backups has acknowledged.
     fn unacknowledged_since(&self) -> Option<Micros> {
         let batch = self.open_batches.range(self.backed_up_below..).next();
         batch.map(|(_, batch)| batch.since).or(self.fresh.map(|fresh| fresh.since))
@@ -222,6 +228,7 @@
 struct EndedBlock {
     /// Until then, a duplicate of its grant may arrive.
     until: Micros,
+    /// Micro-credits debited from it in all; 0 if it was never accepted.
     debited: Credits,
 }
 
--- a/crates/credit/src/debit_backup.rs
+++ b/crates/credit/src/debit_backup.rs
@@ -40,6 +40,7 @@
 
 #[derive(Debug, Default)]
 struct StoredBackup {
+    /// When the last report was received.
     last_report: Micros,
     block: BackedUpBlock,
 }
@@ -75,7 +76,7 @@
 pub struct RecoveredBlock<'a> {
     /// Its debits.
     pub debits: &'a KnownDebits,
-    /// The ceiling, if no acknowledged report can be missing.
+    /// The highest known ceiling, if enough backups answered that no acknowledged report can be missing.
     pub ceiling: Option<Credits>,
 }
 
@@ -83,9 +84,12 @@
 #[derive(Debug)]
 pub struct DebitRecovery {
     started: Micros,
+    /// The number of the block's backups.
     backups: usize,
     unanswered: BTreeSet<Holder>,
+    /// The number of backups that have answered.
     answers: usize,
+    /// What the core knew of the block, merged with the answers.
     block: BackedUpBlock,
 }
 
--- a/crates/credit/src/pause.rs
+++ b/crates/credit/src/pause.rs
@@ -36,12 +36,12 @@
 /// How much credit a tenant has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Encode, Decode)]
 pub enum Level {
-    /// Enough.
+    /// The balance covers several of the cheapest requests for each proxy.
     #[default]
     Available,
-    /// Little: proxies return what they do not use.
+    /// The balance covers few of the cheapest requests or none: proxies return what they do not use.
     Low,
-    /// None: no request starts.
+    /// The balance is below the cheapest price, and less than that is leased per proxy: no request starts until the balance rises.
     Empty,
 }
 
--- a/crates/credit/src/random_load/checks.rs
+++ b/crates/credit/src/random_load/checks.rs
@@ -28,7 +28,7 @@
 }
 
 impl Simulation<'_> {
-    /// Checks that everything is settled, and that each block's debits match what the servers executed.
+    /// Checks that no block is still leased, and compares each block's debits and unsettled amount with what the servers received.
     pub(super) fn check_end(&mut self) -> Result<(), Violation> {
         let core = self.core.take().ok_or("no core")?;
         let totals = core.account.totals();
@@ -64,6 +64,7 @@
             return Err(format!("lost: {}", description()));
         }
         let Some(BlockEnd::Lost { ceiling }) = block.end else { return Ok(()) };
+        // After a recovery without a ceiling, the whole amount counts as the ceiling.
         let is_certain = ceiling < block.amount;
         self.statistics.lost_blocks += 1;
         self.statistics.unsettled.add(unsettled);
--- a/crates/credit/src/random_load/simulation.rs
+++ b/crates/credit/src/random_load/simulation.rs
@@ -14,7 +14,7 @@
 
 /// The first phase, in which requests arrive and faults are injected.
 const LOAD_PHASE: Micros = 10_000_000;
-/// The second phase, without arrivals and faults, in which everything is to be settled.
+/// The second phase, without arrivals and faults, in which all leased blocks are to end.
 const QUIET_PHASE: Micros = 9_000_000;
 /// The interval at which the backups of a lost block are queried.
 const QUERY_INTERVAL: Micros = 100_000;
@@ -29,9 +29,12 @@
     pub network: Network,
     pub proxies: Vec<Proxy>,
     pub stores: Vec<Store>,
+    /// `None` while the core is down.
     pub core: Option<Core>,
     pub served: BTreeMap<BlockId, ServedBlock>,
+    /// The operator's refills: their amounts by id.
     pub refills: BTreeMap<String, Credits>,
+    /// Requests that have not arrived yet: their prices by time of arrival and id.
     pub arrivals: BTreeMap<(Micros, u64), Credits>,
     pub last_request: u64,
     pub statistics: &'a mut Statistics,
--- a/crates/credit/src/random_load/world.rs
+++ b/crates/credit/src/random_load/world.rs
@@ -124,10 +124,15 @@
     pub net: Credits,
     /// Micro-credits of all requests that were sent.
     pub gross: Credits,
+    /// Micro-credits of requests that were sent and have not ended.
     pub under_way: Credits,
+    /// The greatest value of `under_way` so far.
     pub most_under_way: Credits,
+    /// The ceiling in the block's grant.
     pub ceiling: Credits,
+    /// When the block was granted.
     pub granted: Micros,
+    /// When the last request was sent.
     pub last_sent: Micros,
     pub is_spent_after_lifetime: bool,
 }
@@ -151,10 +156,12 @@
     pub executed: u64,
     pub deferred: u64,
     pub proxies_killed: u64,
+    /// Recoveries without a ceiling, as too few backups answered in time.
     pub uncertain_recoveries: u64,
-    /// Unsettled micro-credits of killed proxies' blocks.
+    /// Unsettled micro-credits of each block that ended as lost.
     pub unsettled: Amounts,
-    /// Those of blocks of which enough backups have answered.
+    /// The same for lost blocks with a ceiling below their amount: enough backups have answered that no acknowledged report can be
+    /// missing.
     pub certain_unsettled: Amounts,
     pub lost_blocks: u64,
     /// The times from a balance below the cheapest price to the level `Empty`.
