--- a/crates/succession/src/claims.rs
+++ b/crates/succession/src/claims.rs
@@ -5,7 +5,7 @@
 pub struct Claim {
     /// The most descriptors that it may have open.
     pub max_descriptors: usize,
-    /// It is stopping, so its claim only shrinks.
+    /// Whether it is stopping: its claim is then limited to the descriptors in use and a slack.
     pub leaves: bool,
 }
 
--- a/crates/succession/src/connection.rs
+++ b/crates/succession/src/connection.rs
@@ -24,7 +24,7 @@
 pub enum Why {
     /// The process is stopping: no further request is accepted once the current one is answered.
     Stop,
-    /// The connection limit is reached, and another client needs the place.
+    /// The connection limit is reached, and another client needs the connection slot.
     Room,
 }
 
@@ -82,8 +82,8 @@
     deadline_restarted: bool,
     /// Data of the current head was read together with the previous request, and may be a complete request.
     pipelined: bool,
-    /// The check for unread data was requested because another client needs the place.
-    place_requested: bool,
+    /// The check for unread data was requested because another client needs the connection slot.
+    slot_requested: bool,
 }
 
 impl Default for Connection {
@@ -94,7 +94,7 @@
             overdue: false,
             deadline_restarted: false,
             pipelined: false,
-            place_requested: false,
+            slot_requested: false,
         }
     }
 }
@@ -114,9 +114,9 @@
     pub fn on(&mut self, event: Event) -> Option<Action> {
         use Stage::*;
         match (self.stage, event) {
-            (_, Event::Stuck) => self.closing(Some(Action::Cut)),
+            (_, Event::Stuck) => self.close(Some(Action::Cut)),
             (Closing, _) => None,
-            (_, Event::Gone) => self.closing(None),
+            (_, Event::Gone) => self.close(None),
             (Fresh | Idle, Event::Came) => {
                 self.stage = Head;
                 None
@@ -131,7 +131,7 @@
                 self.close_requested.then_some(Action::LastAnswer)
             }
             // The answer was marked as the last one.
-            (_, Event::Answered { .. }) if self.close_requested => self.closing(None),
+            (_, Event::Answered { .. }) if self.close_requested => self.close(None),
             // A pipelined request may have been read completely already, so that the receive buffer is empty.
             (_, Event::Answered { ahead }) => {
                 (self.stage, self.pipelined) = (if ahead { Head } else { Idle }, ahead);
@@ -141,10 +141,10 @@
                 self.close_requested = true;
                 Some(Action::Look)
             }
-            // Heads that never end could occupy all places. An incomplete head is not an accepted request, so its connection may be
-            // closed if another client needs the place.
+            // Heads that never end could occupy all connection slots. An incomplete head is not an accepted request, so its connection may be
+            // closed if another client needs the connection slot.
             (Head, Event::Told(Why::Room)) if !self.pipelined => {
-                (self.close_requested, self.place_requested) = (true, true);
+                (self.close_requested, self.slot_requested) = (true, true);
                 Some(Action::Look)
             }
             // The incomplete head may be completed in a moment, and closing would lose that request.
@@ -162,30 +162,30 @@
                 self.overdue = true;
                 Some(Action::Look)
             }
-            (_, Event::Looked { unread }) => self.looked(unread),
+            (_, Event::Looked { unread }) => self.unread_checked(unread),
         }
     }
 
-    fn looked(&mut self, unread: bool) -> Option<Action> {
-        let (overdue, place_requested) =
-            (std::mem::take(&mut self.overdue), std::mem::take(&mut self.place_requested));
+    fn unread_checked(&mut self, unread: bool) -> Option<Action> {
+        let (overdue, slot_requested) =
+            (std::mem::take(&mut self.overdue), std::mem::take(&mut self.slot_requested));
         match self.stage {
             Stage::InWork | Stage::Closing => None,
-            // The deadline is restarted only once: a client that sends a byte now and then could keep its place forever.
+            // The deadline is restarted only once: a client that sends a byte now and then could keep its slot forever.
             _ if overdue && unread && !self.deadline_restarted => {
                 self.deadline_restarted = true;
                 Some(Action::Again)
             }
-            _ if overdue => self.closing(Some(Action::Cut)),
-            Stage::Head if place_requested && !unread => self.closing(Some(Action::Cut)),
+            _ if overdue => self.close(Some(Action::Cut)),
+            Stage::Head if slot_requested && !unread => self.close(Some(Action::Cut)),
             Stage::Head => None,
             Stage::Fresh | Stage::Idle if unread => None,
-            Stage::Fresh | Stage::Idle if self.close_requested => self.closing(Some(Action::Shut)),
+            Stage::Fresh | Stage::Idle if self.close_requested => self.close(Some(Action::Shut)),
             Stage::Fresh | Stage::Idle => None,
         }
     }
 
-    fn closing(&mut self, action: Option<Action>) -> Option<Action> {
+    fn close(&mut self, action: Option<Action>) -> Option<Action> {
         self.stage = Stage::Closing;
         action
     }
--- a/crates/succession/src/held.rs
+++ b/crates/succession/src/held.rs
@@ -27,9 +27,9 @@
 /// The last call for an app server. The field order defines which mark wins a merge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Mark {
-    /// Higher is later.
+    /// Of two marks for one app server, the one with the higher stamp wins.
     pub stamp: u64,
-    /// Whether it is excluded.
+    /// Whether the app server is excluded.
     pub out: bool,
     /// When it was excluded last.
     pub since: UnixMs,
--- a/crates/succession/src/peer.rs
+++ b/crates/succession/src/peer.rs
@@ -15,6 +15,7 @@
     written_claim: Option<usize>,
     held: HeldOut,
     learned: Option<Learned>,
+    /// Whether exclusions of other processes may be missing; see [`View::doubt`].
     doubt: bool,
 }
 
@@ -46,8 +47,8 @@
     /// Takes the result of writing the record. A claim that the others can't read doesn't count: after a failed write it may
     /// shrink, but must not exceed what they assume. For a process that has never written a record, that is half of the limit,
     /// or all of it if there are no others.
-    pub fn written(&mut self, well: bool, used: usize, limit: usize, view: &View) {
-        if well {
+    pub fn written(&mut self, succeeded: bool, used: usize, limit: usize, view: &View) {
+        if succeeded {
             self.written_claim = Some(self.life.descriptors);
             return;
         }
@@ -123,9 +124,9 @@
         };
         let alone = View::default();
         let mut peer = Peer::new(1);
-        let claims = |peer: &mut Peer, well, view: &View| {
+        let claims = |peer: &mut Peer, succeeded, view: &View| {
             peer.claims(384, Standing::Serves, 10, view);
-            peer.written(well, 10, 384, view);
+            peer.written(succeeded, 10, 384, view);
             peer.descriptors()
         };
         assert_eq!(claims(&mut peer, true, &beside(0)), 192);
--- a/crates/succession/src/places.rs
+++ b/crates/succession/src/places.rs
@@ -34,7 +34,7 @@
     pub standing: Standing,
     /// The other processes, counted by standing.
     pub others: Others,
-    /// This has not changed for a while.
+    /// Whether `standing` and `others` have not changed for a while.
     pub settled: bool,
 }
 
@@ -73,11 +73,11 @@
         true => limit - limit / (others.serving + 1),
         false => others.coming * (wanted(limit) + slack(limit)),
     };
-    let allowed = limit.saturating_sub(needed_by_others).min(claim);
-    let servers = all.saturating_sub(allowed).min(idle_servers);
+    let max_open_descriptors = limit.saturating_sub(needed_by_others).min(claim);
+    let servers = all.saturating_sub(max_open_descriptors).min(idle_servers);
     // Busy connections to app servers will be idle in a moment and are closed then.
-    let lasting = all.saturating_sub(busy_servers + idle_servers);
-    GiveBack { servers, clients: lasting.saturating_sub(allowed).min(clients) }
+    let non_server_descriptors = all.saturating_sub(busy_servers + idle_servers);
+    GiveBack { servers, clients: non_server_descriptors.saturating_sub(max_open_descriptors).min(clients) }
 }
 
 #[cfg(test)]
--- a/crates/succession/src/process.rs
+++ b/crates/succession/src/process.rs
@@ -27,7 +27,7 @@
     Leaving,
     /// Idle connections are being closed and leases returned. It must answer the requests that are open.
     Draining,
-    /// The open requests have been failed. It must stay long enough to write those answers.
+    /// Errors are being written as the answers to all open requests. It exits once nothing is open, or when [`Timer::Grace`] expires.
     Failing,
     /// It has exited.
     Gone,
@@ -40,15 +40,15 @@
     List,
     /// Waiting for descriptors that another process still uses.
     Descriptors,
-    /// Leaving without a successor: until idle connections are closed.
+    /// Leaving without a successor: from the request to stop until [`Action::CloseIdle`].
     Idle,
-    /// Leaving without a successor: from then on, until it stops accepting.
+    /// Leaving without a successor: from the expiry of [`Timer::Idle`] until it stops accepting and drains.
     AcceptEnd,
     /// Leaving with a successor: waiting for the last requests on open connections.
     LastUse,
-    /// From the request to stop (SIGTERM): until open requests are failed.
+    /// From the request to stop (SIGTERM): until all open requests are answered with errors ([`Action::FailAll`]).
     Patience,
-    /// From then on: for writing these failures.
+    /// From [`Action::FailAll`] until it exits even if something is still open.
     Grace,
 }
 
@@ -67,7 +67,7 @@
     Terminate,
     /// The open work, reported repeatedly while it is draining or failing.
     Open {
-        /// Whether any request is unanswered.
+        /// Whether any client waits for the answer to a request.
         waited_for: bool,
         /// The number of connected clients.
         clients: usize,
@@ -85,11 +85,11 @@
     StopAccepting,
     /// Report whether it is ready to serve clients.
     Ready(bool),
-    /// Request all connections to close as soon as no request on them can be lost.
+    /// Close each client connection as soon as that loses no request; see [`crate::connection`].
     CloseIdle,
     /// Return all leases.
     ReturnLeases,
-    /// Fail all open requests.
+    /// Answer all open requests with an error.
     FailAll,
     /// Start a timer.
     Start(Timer),
@@ -103,8 +103,11 @@
     phase: Phase,
     /// Its listening socket is shared: the service manager keeps it open, so another process can accept what this one doesn't.
     shared_socket: bool,
+    /// It accepts connections.
     accepts: bool,
+    /// The list of app servers has been received, or [`Timer::List`] has expired.
     list_received: bool,
+    /// Whether it has enough descriptors to serve; also set when [`Timer::Descriptors`] expires.
     has_descriptors: bool,
     others: Others,
     /// It has seen a serving successor while leaving.
@@ -155,7 +158,7 @@
             Event::EnoughDescriptors(has_descriptors) => self.has_descriptors = has_descriptors,
             Event::Others(others) => self.others = others,
             Event::Terminate => return self.terminate(out),
-            Event::TimerExpired(timer) => self.over(timer, out),
+            Event::TimerExpired(timer) => self.timer_expired(timer, out),
             Event::Open { waited_for, clients, settled } => {
                 if self.looks() && !waited_for && clients == 0 && settled {
                     self.end(out);
@@ -215,7 +218,7 @@
         }
     }
 
-    fn over(&mut self, timer: Timer, out: &mut Vec<Action>) {
+    fn timer_expired(&mut self, timer: Timer, out: &mut Vec<Action>) {
         match (self.phase, timer) {
             (Phase::Starting, Timer::List) => self.list_received = true,
             // It has waited long enough: serving with few descriptors is better than not serving.
--- a/crates/succession/src/view.rs
+++ b/crates/succession/src/view.rs
@@ -75,7 +75,7 @@
     pub held: HeldOut,
     /// What any process has learned last.
     pub learned: Option<Learned>,
-    /// Whether some marks could not be read.
+    /// Whether some process's exclusions may be missing here: its record has a problem, and no intact second copy was read.
     pub doubt: bool,
     /// The problems that were found.
     pub troubles: Vec<Trouble>,
@@ -176,7 +176,8 @@
         assert_eq!((view.doubt, view.troubles, view.spent), (false, vec![], vec![2]));
     }
 
-    /// Each kind of damage, and what follows from it.
+    /// For each state of another process's record (missing, unreadable, damaged, intact): the claim assumed for the process, whether
+    /// there is doubt or trouble, and whether the record may be deleted.
     #[test]
     fn each_kind_of_damage_has_its_outcome() {
         let written = record(Standing::Serves, &["x", "y"], 5);
