--- a/crates/config-store/src/disk.rs
+++ b/crates/config-store/src/disk.rs
@@ -127,10 +127,10 @@
 
     /// Metrics of the writes.
     pub fn metrics(&self) -> Vec<Metric> {
-        let oldest =
+        let oldest_age_secs =
             self.open_writes.borrow().front().map_or(0.0, |write| write.since.elapsed().as_secs_f64());
         let mut metrics = self.counts.metrics();
-        metrics.push(Metric::new("config_store_oldest_open_write_seconds", oldest));
+        metrics.push(Metric::new("config_store_oldest_open_write_seconds", oldest_age_secs));
         metrics
     }
 }
--- a/crates/config-store/src/disk/column.rs
+++ b/crates/config-store/src/disk/column.rs
@@ -1,7 +1,7 @@
 //! Encoding of values in database columns.
 
-/// Decodes a column. Invalid bytes are an error rather than a default value: a store that lost its promises or its accepted
-/// ballot would vote as if it had never made them.
+/// Decodes a BLOB column: the membership or the pending batch. Undecodable bytes are an error rather than a default value: a store
+/// that lost its membership or a batch that it accepted would vote as if it had never had them. Bytes after the value are ignored.
 pub(super) fn decode_column<T: bincode::Decode<()>>(column: usize, bytes: &[u8]) -> rusqlite::Result<T> {
     let decoded = bincode::decode_from_slice(bytes, bincode::config::standard());
     decoded.map(|(value, _)| value).map_err(|error| {
--- a/crates/config-store/src/service.rs
+++ b/crates/config-store/src/service.rs
@@ -242,8 +242,9 @@
 
     fn on_hello(&mut self, connection: ConnectionId, hello: Hello, out: &mut Vec<Output>) {
         if hello.role == Role::Registry {
-            let capability = PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS);
-            out.push(Output::Send(connection, capability));
+            // The reserved number tells the registry that this store understands rollouts; it asks for no confirmation.
+            let rollouts_announcement = PeerMessage::ConfirmCurrent(UNDERSTANDS_ROLLOUTS);
+            out.push(Output::Send(connection, rollouts_announcement));
             self.sent_status = None;
             if hello.ip == self.own_hello.ip {
                 let proxies = PeerMessage::KnownProxies(self.proxies.machines.clone());
--- a/crates/peer-link/src/message.rs
+++ b/crates/peer-link/src/message.rs
@@ -182,7 +182,7 @@
     Hello(Hello),
     /// The sender is about to shut down as planned.
     Goodbye,
-    /// Items that are newer or unknown, as far as the sender knows.
+    /// Items that the sender believes the receiver lacks or has only in an older version.
     Update(Vec<Item>),
     /// The digests of the sender's items, by realm.
     Digests([u64; 2]),
@@ -190,9 +190,9 @@
     Sync {
         /// [`CONFIG_REALM`] or [`RUNTIME_REALM`].
         realm: u8,
-        /// Items that are newer or unknown, as far as the sender knows.
+        /// Items that the sender believes the receiver lacks or has only in an older version.
         items: Vec<Item>,
-        /// The parts of the realm to compare or to send next.
+        /// Digests and entries that the receiver compares with its own items, and requests for items that it sends in its reply.
         parts: Vec<SyncPart>,
     },
     /// Items that must survive a failure of the sender. The receiver acknowledges them by [`PeerMessage::Replicated`].
--- a/crates/peer-link/src/query.rs
+++ b/crates/peer-link/src/query.rs
@@ -25,7 +25,7 @@
     /// The process closed the connection without a complete answer, or exceeded [`Query::max_bytes`].
     #[error("no complete answer was received")]
     Unanswered,
-    /// The caller's timeout expired.
+    /// The timeout that a caller put around [`query`] expired; `query` itself has none and never returns this.
     #[error("no answer within the timeout")]
     TimedOut,
 }
