--- a/crates/protocol/src/classes.rs
+++ b/crates/protocol/src/classes.rs
@@ -5,7 +5,7 @@
 
 use crate::settings::EnvClass;
 
-/// All current and former classes; the index is the number by which the decisions know a class.
+/// All current and former classes; the index is the number by which the load balancer knows a class.
 #[derive(Debug, Default)]
 pub struct ClassTable {
     entries: Vec<EnvClass>,
@@ -30,7 +30,7 @@
         self.entries.iter().map(|c| c.name.clone()).collect()
     }
 
-    /// The complete table in the form that the decisions use.
+    /// The complete table in the form that the load balancer uses.
     pub fn all(&self) -> Vec<Class> {
         self.entries.iter().cloned().map(Class::from).collect()
     }
--- a/crates/protocol/src/counter.rs
+++ b/crates/protocol/src/counter.rs
@@ -3,11 +3,13 @@
 use bytes::{Buf, BytesMut};
 use mountbend::interface::{CountName, Micros};
 
-/// Replies with a longer line, or a longer total, are invalid (bytes).
+/// An error reply whose line, without the leading `-`, reaches this length in bytes is invalid.
 const MAX_LINE: usize = 512;
+/// Maximum length of a total in a reply, in bytes.
 const MAX_TOTAL_LENGTH: usize = 64;
-/// Maximum retention of a name, in milliseconds, and maximum amount that the counter accepts.
+/// Maximum retention of a counter, in milliseconds.
 const MAX_KEEP_MS: u64 = 60_000;
+/// Maximum absolute amount of one call, in units.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// One call: adds an amount to a named counter.
@@ -61,8 +63,8 @@
     let plausible = |head: &[u8]| match head {
         [] => true,
         [b'-', why @ ..] => {
-            let known = |prefix: &[u8]| why.iter().zip(prefix).all(|(a, b)| a == b);
-            (known(b"BUSY") || known(b"ERR")) && why.len() < MAX_LINE
+            let may_start_with = |prefix: &[u8]| why.iter().zip(prefix).all(|(a, b)| a == b);
+            (may_start_with(b"BUSY") || may_start_with(b"ERR")) && why.len() < MAX_LINE
         }
         [b'$', length @ ..] => {
             let length = length.strip_suffix(b"\r").unwrap_or(length);
@@ -87,16 +89,16 @@
         Some(("$", length)) => {
             let length =
                 length.parse::<usize>().ok().filter(|&n| n <= MAX_TOTAL_LENGTH).ok_or(InvalidReply)?;
-            let all = end + 2 + length + 2;
-            if buffer.len() < all {
+            let reply_length = end + 2 + length + 2;
+            if buffer.len() < reply_length {
                 return Ok(None);
             }
-            if &buffer[all - 2..all] != b"\r\n" {
+            if &buffer[reply_length - 2..reply_length] != b"\r\n" {
                 return Err(InvalidReply);
             }
-            let body = std::str::from_utf8(&buffer[end + 2..all - 2]).map_err(|_| InvalidReply)?;
+            let body = std::str::from_utf8(&buffer[end + 2..reply_length - 2]).map_err(|_| InvalidReply)?;
             let total = body.trim().parse::<f64>().ok().filter(|t| t.is_finite()).ok_or(InvalidReply)?;
-            buffer.advance(all);
+            buffer.advance(reply_length);
             Ok(Some(Reply::Total(total)))
         }
         _ => Err(InvalidReply),
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/list.rs
@@ -3,15 +3,16 @@
 use mountbend::interface::{MemberState, ServerId};
 use serde::Deserialize;
 
-/// A list of app servers, or changes to it.
+/// One message of discovery: the complete list of app servers, or changes to an earlier list.
 #[derive(Debug, Clone, Deserialize, Default)]
 pub struct List {
-    /// The version, which is comparable only with other versions of the same agent.
+    /// The version number of the list. Numbers are comparable only if the same discovery agent sent them.
     pub index: u64,
-    /// Whether this is the complete list.
+    /// Whether this is the complete list, not changes to one.
     #[serde(default)]
     pub snapshot: bool,
-    /// Parsed one by one, so that a malformed entry does not invalidate the others.
+    /// The listed or changed servers, each an [`Endpoint`]. Parsed one by one, so that a malformed entry does not
+    /// invalidate the others.
     #[serde(default)]
     pub endpoints: Vec<serde_json::Value>,
 }
@@ -21,7 +22,8 @@
 pub struct Endpoint {
     /// Its name, which is the same at every node.
     pub name: String,
-    /// Its address, which may differ between nodes.
+    /// The address (IP and port) at which this node reaches it; other nodes may get another one. Empty or malformed: a known
+    /// server keeps its last address.
     #[serde(default)]
     pub address: String,
     /// Its zone's name.
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -1,4 +1,4 @@
-//! Validation of a client's request, and its conversion for the decisions.
+//! Validation of a client's request, and its conversion to [`NewRequest`], the load balancer's input (crate `mountbend`).
 
 use std::str::FromStr;
 
@@ -15,7 +15,7 @@
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 /// Header with the name of the class.
 pub const CLASS: HeaderName = HeaderName::from_static("x-class");
-/// Header with the name of the plan.
+/// Header with the name of the customer's tariff, called plan in this module.
 pub const PLAN: HeaderName = HeaderName::from_static("x-tariff");
 /// Header with the units and the customer's set of nodes.
 pub const WEIGHT: HeaderName = HeaderName::from_static("x-weight");
@@ -23,10 +23,11 @@
 pub const RETRY: HeaderName = HeaderName::from_static("x-retry");
 /// Maximum length of a body, in bytes.
 pub const BODY_MOST: usize = 64 * 1024;
-/// Limits beyond which a value is malformed: id length in bytes, deadline in milliseconds, number of
-/// customers.
+/// Maximum length of a request id, in bytes.
 const MAX_ID_LENGTH: usize = 128;
+/// Maximum value of the deadline header, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
+/// Customer keys must be below this number.
 const CUSTOMERS: u64 = 1 << 33;
 
 /// A malformed request, with a line that explains the error to its client.
@@ -35,15 +36,18 @@
 
 /// The rules for requests that the settings define.
 pub struct Rules {
-    /// Name, effect, and number in the decisions' class table.
+    /// Name, effect, and index in the load balancer's class table.
     classes: Vec<(String, WireEffect, usize)>,
+    /// Names of the tariffs; the index is the plan's number.
     plans: Vec<String>,
+    /// The number of nodes, at least 1.
     nodes: u32,
+    /// The maximum number of units of a request; `f64::MAX` if the settings give none.
     largest_units: f64,
 }
 
 impl Rules {
-    /// The rules of these settings; `numbers` are their classes' numbers in the decisions' table.
+    /// The rules of these settings; `numbers` are their classes' indices in the load balancer's table.
     pub fn new(env: &Env, numbers: &[usize]) -> Self {
         let classes = env.classes.iter().zip(numbers);
         Rules {
@@ -54,8 +58,8 @@
         }
     }
 
-    /// Validates a request and converts it for the decisions. Danger: a malformed request must never reach
-    /// them.
+    /// Validates a request and converts it for the load balancer. Danger: a malformed request must never reach
+    /// it.
     pub fn read(
         &self,
         method: &Method,
@@ -113,6 +117,8 @@
         })
     }
 
+    /// Parses the value of [`WEIGHT`]: units, number of nodes in the customer's set, and its first node; none if
+    /// it is malformed or out of range.
     fn weight(&self, text: &str) -> Option<(f64, u32, u32)> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for pair in text.split(',') {
