--- a/crates/traffic/src/acceptor.rs
+++ b/crates/traffic/src/acceptor.rs
@@ -29,8 +29,8 @@
 
 /// Maximum length of a request head. It also bounds what a connection may buffer.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// A new connection without a request by then counts as idle: a request sent together with the connection
-/// arrives with it.
+/// A new connection on which no request has arrived for this long counts as idle: a request sent together with
+/// the connection arrives with it.
 const FIRST_REQUEST: Duration = Duration::from_millis(50);
 /// How long a process without a free slot leaves a new connection to the other process that accepts on the
 /// same socket. After that it accepts and closes an idle connection for it: the other may have no free slot
@@ -65,13 +65,15 @@
     closing: watch::Sender<u32>,
     /// The open connections by number.
     open: RefCell<BTreeMap<u64, Rc<ClientState>>>,
+    /// The number of the next connection.
     opened: Cell<u64>,
-    /// Another process accepts on the same socket.
+    /// Whether another process accepts on the same socket.
     is_shared: Cell<bool>,
 }
 
 impl<H: Handler> Acceptor<H> {
-    /// Starts without connections, and a task that enforces the time-outs at each watchdog tick.
+    /// Creates an acceptor without connections, and spawns a local task that enforces the time-outs at each
+    /// watchdog tick until the acceptor is dropped.
     pub fn new(handler: Rc<H>, Common { budget, watchdog, .. }: Common) -> Rc<Self> {
         let acceptor = Rc::new(Acceptor {
             handler,
@@ -170,12 +172,15 @@
         self.is_shared.set(another);
     }
 
+    /// Waits for a slot for a client connection. With none free, idle connections are closed: client connections,
+    /// or, if all slots are used, upstream connections first.
     async fn slot(&self) -> Slot {
         let close_one =
             || self.budget.exhausted() && self.handler.close_an_idle() || self.budget.close_an_idle_client();
         self.budget.acquire(|| self.budget.for_client(), close_one).await
     }
 
+    /// Serves a connection in a task of its own until it is closed.
     fn open(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
         let state = ClientState::new(self.budget.clone());
         let acceptor = self.clone();
@@ -242,6 +247,7 @@
 /// Keeps a connection in the map of open ones until dropped.
 struct OpenEntry<H> {
     acceptor: Rc<Acceptor<H>>,
+    /// The key of the connection in the map of open ones.
     number: u64,
 }
 
--- a/crates/traffic/src/body_memory.rs
+++ b/crates/traffic/src/body_memory.rs
@@ -2,8 +2,9 @@
 //! be streamed.
 //!
 //! All bodies share one limit. Each may buffer an eighth of what is free (a dynamic threshold, as switches
-//! share buffers: Choudhury and Hahne, IEEE/ACM Transactions on Networking 6 (2), 1998): a single body gets
-//! all that it asks for, and however many stall together, some memory stays free.
+//! share buffers: Choudhury and Hahne, IEEE/ACM Transactions on Networking 6 (2), 1998): a body that stalls alone
+//! holds about a ninth of the limit, and however many stall together, they leave some memory free. The buffers of
+//! streamed answers are reserved even if none is free.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 
 use crate::streamed_body::DEFAULT_MAX_BODY_BYTES;
 
-/// A body may buffer at most the free memory divided by this.
+/// A body may be buffered further while it holds at most the free memory divided by this.
 const FREE_DIVISOR: usize = 8;
 /// Bytes reserved for a streamed body: a buffer of 16 KiB on either side.
 const STREAM_BUFFERS: usize = 32 * 1024;
@@ -24,9 +25,13 @@
 #[derive(Clone)]
 pub struct BodyMemoryPool(Arc<Usage>);
 
+/// The limits of a process and the memory in use.
 struct Usage {
+    /// Memory for all bodies together, in bytes.
     capacity: usize,
+    /// Maximum length of a body, in bytes.
     max_body_bytes: AtomicU64,
+    /// Bytes reserved; may exceed `capacity`.
     reserved: AtomicUsize,
 }
 
@@ -60,6 +65,7 @@
         self.0.max_body_bytes.store(max_body_bytes, Ordering::Relaxed);
     }
 
+    /// Bytes that are not reserved.
     fn free(&self) -> usize {
         self.0.capacity.saturating_sub(self.0.reserved.load(Ordering::Relaxed))
     }
@@ -115,6 +121,7 @@
     }
 }
 
+/// Bytes that hold their reservation until they are dropped.
 struct ReservedBytes {
     bytes: Bytes,
     _reservation: Reservation,
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -17,18 +17,25 @@
 
 /// Counts open connections against a limit.
 pub struct Budget {
-    /// Descriptors reserved for other uses, and the share of the rest that clients may use.
+    /// Number of descriptors reserved for other uses.
     reserved: usize,
+    /// Fraction of the slots that clients may use.
     client_share: f64,
     /// Descriptor limit of all processes of this node together.
     node_descriptors: usize,
     /// Descriptor limit of this process.
     allowed: Cell<usize>,
+    /// Maximum number of open connections.
     max_slots: Cell<usize>,
+    /// Maximum number of open client connections.
     for_clients: Cell<usize>,
+    /// Number of slots in use.
     used: Cell<usize>,
+    /// Number of slots in use for client connections.
     clients: Cell<usize>,
+    /// Notified when a slot may have become free or another idle connection may be closed.
     availability_changed: Notify,
+    /// Sequence number of the next [`Ticket`].
     next_ticket: Cell<u64>,
     /// Client connections so new that their first request may still be unread.
     new_clients: Cell<usize>,
@@ -42,6 +49,7 @@
 /// The descriptor of one open connection.
 pub struct Slot {
     budget: Rc<Budget>,
+    /// Whether it is a client connection.
     client: bool,
 }
 
--- a/crates/traffic/src/clock.rs
+++ b/crates/traffic/src/clock.rs
@@ -7,8 +7,10 @@
 
 /// Unix time in microseconds that never goes backwards: the system time at construction plus monotonic time.
 pub struct Clock {
-    start: Micros,
-    started_at: Instant,
+    /// The system time at construction, in microseconds since the Unix epoch.
+    start_unix_micros: Micros,
+    /// The monotonic time at construction.
+    start_instant: Instant,
 }
 
 impl Default for Clock {
@@ -21,16 +23,16 @@
     /// A clock that starts at the current system time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: unix.as_micros() as Micros, started_at: Instant::now() }
+        Clock { start_unix_micros: unix.as_micros() as Micros, start_instant: Instant::now() }
     }
 
     /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
-        self.start + self.started_at.elapsed().as_micros() as Micros
+        self.start_unix_micros + self.start_instant.elapsed().as_micros() as Micros
     }
 
     /// Converts a time of this clock to the runtime's `Instant`.
     pub fn instant(&self, time: Micros) -> Instant {
-        self.started_at + Duration::from_micros(time.saturating_sub(self.start))
+        self.start_instant + Duration::from_micros(time.saturating_sub(self.start_unix_micros))
     }
 }
--- a/crates/traffic/src/connection.rs
+++ b/crates/traffic/src/connection.rs
@@ -30,6 +30,7 @@
     pub(crate) close: Rc<Notify>,
     /// Notified when a request head or the delivery of an answer has exceeded its time-out.
     pub(crate) cut: Notify,
+    /// Its key among the budget's idle connections, while it is idle.
     ticket: Cell<Option<Ticket>>,
     /// Since when the connection is idle.
     idle_since: Cell<Option<Instant>>,
@@ -43,6 +44,7 @@
     head_since: Cell<Option<Instant>>,
     /// Since when writes to the client are blocked.
     write_blocked_since: Cell<Option<Instant>>,
+    /// The raw heads of its requests.
     pub(crate) wire: RawHead,
 }
 
@@ -136,7 +138,7 @@
             || self.is_write_blocked()
     }
 
-    /// Whether it has been idle between two requests for more than `limit`.
+    /// Whether it has been idle, before its first request or after an answer, for more than `limit`.
     pub(crate) fn idle_for(&self, limit: Duration) -> bool {
         has_lasted(&self.idle_since, limit)
     }
--- a/crates/traffic/src/http.rs
+++ b/crates/traffic/src/http.rs
@@ -24,22 +24,28 @@
 use crate::request_timing::RequestTiming;
 use crate::streamed_body::{Outgoing, UploadBody};
 
-/// Maximum read-ahead of a connection, and so the maximum length of an answer's head.
+/// Maximum read-ahead of a connection, and so the maximum length of an answer's head, in bytes.
 const MAX_READ_AHEAD: usize = 16 * 1024;
 
 /// An open connection. Dropping it closes the socket, whatever is in progress on it.
 pub struct Connection {
     sender: SendRequest<TrackedBody>,
+    /// Progress of writing the current request.
     written: Rc<WriteProgress>,
+    /// The task that owns the socket; aborted when this is dropped.
     driver: AbortHandle,
+    /// Timing of the answer to the current request.
     answer_timing: Rc<AnswerTiming>,
 }
 
 /// When the current answer began and when it last made progress.
 #[derive(Default)]
 pub struct AnswerTiming {
+    /// When the first byte of the answer was received.
     since: Cell<Option<Instant>>,
+    /// When bytes were last received.
     last: Cell<Option<Instant>>,
+    /// Notified when the first byte of an answer is received.
     first: Notify,
 }
 
@@ -71,6 +77,7 @@
     body_taken: Cell<bool>,
     /// How many bytes have been written to the socket, and when.
     request_timing: Cell<RequestTiming>,
+    /// Called when the request has been written completely.
     on_written: OnWritten,
 }
 
@@ -246,7 +253,7 @@
         !self.sender.is_closed()
     }
 
-    /// Timing of the answer to the next request.
+    /// Resets the timing of the answer for the next request, and returns it.
     pub fn answer_timing(&self) -> Rc<AnswerTiming> {
         self.answer_timing.since.set(None);
         self.answer_timing.clone()
@@ -273,8 +280,9 @@
     }
 }
 
-/// Whether an answer's head determines its end without doubt. Danger: without a length a failed connection
-/// looks like a complete body, and of two different lengths neither can be trusted.
+/// Whether an answer's head defines the end of its body: by exactly one of a length and the coding `chunked`, by
+/// `Connection: close`, or by status 204. Danger: without any of these a failed connection looks like a complete
+/// body, and of a length beside a transfer coding neither can be trusted.
 pub fn framed(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let closes = || headers.get_all(CONNECTION).iter().any(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,5 +1,5 @@
 //! The data plane shared by the gateway's processes: client and upstream connections, bodies, resource
-//! budgets, and the node that executes the decisions' actions.
+//! budgets, and the node that performs the load balancer's actions.
 
 pub mod acceptor;
 pub mod body;
@@ -10,6 +10,7 @@
 pub mod http;
 pub mod listen;
 pub mod node;
+// The servers and their idle connections.
 pub mod pool;
 pub mod ports;
 pub mod raw_head;
--- a/crates/traffic/src/node.rs
+++ b/crates/traffic/src/node.rs
@@ -1,5 +1,5 @@
-//! The node owns the decisions and all open requests. All events enter the decisions here, and all actions
-//! leave them here.
+//! The node owns the load balancer's controller (crate `mountbend`) and all open requests. All events are passed
+//! to the controller here, and all its actions are performed here.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -24,24 +24,29 @@
 /// A request without an answer this long before the client's deadline (in microseconds) has failed.
 pub const FAIL_BEFORE: Micros = 15_000;
 
+/// One attempt at a request; its number is its index in `OpenRequest::attempts`.
 struct Attempt {
     server: ServerId,
+    /// When it was started, by the node's clock.
     sent: Micros,
     /// Its task, while the attempt is in progress.
     task: Option<AbortHandle>,
-    /// The decisions have cancelled it in favour of another attempt, which has not been written yet.
+    /// The controller has cancelled it in favour of another attempt, which has not been written yet.
     superseded: bool,
 }
 
+/// A request without a final answer, or with an attempt in progress.
 struct OpenRequest<T: Traffic> {
     /// Receives the final answer; none once it was sent or the client has disconnected.
     answer: Option<oneshot::Sender<Answer<T>>>,
-    /// The decisions' final answer, used if no superseded attempt yields a better one.
+    /// The controller's final answer, used if no superseded attempt yields a better one.
     fallback: Option<Answer<T>>,
+    /// The request that is forwarded.
     forward: Rc<T::Forward>,
-    /// When attempts are given up.
+    /// When attempts are given up, by the node's clock.
     stop: Micros,
     attempts: Vec<Attempt>,
+    /// Maximum number of attempts.
     try_limit: usize,
 }
 
@@ -60,12 +65,17 @@
     /// The node's clock.
     pub clock: Rc<Clock>,
     peers: Peers<T>,
+    /// Maximum number of attempts for requests without a limit of their own.
     try_limit: Cell<usize>,
     controller: RefCell<Controller>,
     open: RefCell<BTreeMap<RequestId, OpenRequest<T>>>,
+    /// Events that the controller has not handled yet.
     events: RefCell<VecDeque<Event>>,
+    /// Whether an event is being handled; further ones are queued.
     busy: Cell<bool>,
+    /// Whether a graceful shutdown has begun.
     stopping: Cell<bool>,
+    /// The node itself, for tasks that outlive a call.
     me: Weak<Node<T>>,
 }
 
@@ -106,7 +116,7 @@
         })
     }
 
-    /// What the decisions have learned about the servers.
+    /// What the controller has learned about the servers.
     pub fn memory(&self) -> Memory {
         self.controller.borrow().memory()
     }
@@ -246,7 +256,7 @@
         WaitingClient { node: self.clone(), id }
     }
 
-    /// Reports an attempt to the decisions as cancelled, but lets it continue until another one is written.
+    /// Reports an attempt to the controller as cancelled, but lets it continue until another one is written.
     /// Danger: there may be no connection for another one, and the server that was given up may be working on
     /// the request.
     fn supersede(&self, id: &RequestId, number: usize) {
@@ -262,7 +272,7 @@
         self.report_end(id, number, server, Outcome::Cancelled, spent, finished);
     }
 
-    /// Handles the end of a superseded attempt, which the decisions know already as cancelled; if there is a
+    /// Handles the end of a superseded attempt, which was already reported to the controller as cancelled; if there is a
     /// `body`, it has served the request.
     fn end_superseded(&self, id: &RequestId, body: Option<T::Buffered>) {
         let mut requests = self.open.borrow_mut();
@@ -370,9 +380,9 @@
 }
 
 impl<T: Traffic> Core for Node<T> {
-    /// Passes an event to the decisions and performs the actions that they return. Danger: actions may cause
+    /// Passes an event to the controller and performs the actions that it returns. Danger: actions may cause
     /// further events at once. These are queued until all actions of the earlier event are done, as the
-    /// decisions must not be entered recursively.
+    /// controller must not be called recursively.
     fn event(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.busy.replace(true) {
--- a/crates/traffic/src/pool.rs
+++ b/crates/traffic/src/pool.rs
@@ -13,14 +13,16 @@
 use crate::http::Connection;
 use crate::reuse::Reuse;
 
+/// A connection in the pool.
 struct IdleConnection {
     connection: Connection,
     idle: Idle,
 }
 
-/// How long a connection has been idle, and for how long it may be.
+/// Since when a connection has been idle, and for how long it may be.
 #[derive(Debug, Clone, Copy)]
 pub struct Idle {
+    /// When it was returned to the pool after its last use.
     since: Instant,
     /// For how long it may stay idle.
     keep: Duration,
@@ -33,13 +35,16 @@
     }
 }
 
+/// A server and its idle connections.
 struct Host<T> {
     address: SocketAddr,
+    /// Whether it accepts new requests.
     up: bool,
-    /// Changes with the address and with each restart of the server; never reused. Connections of an earlier
-    /// generation are not kept.
+    /// Changes with the address, with each restart of the server, and when another server gets its address; never
+    /// reused. Connections of an earlier generation are not kept.
     generation: u64,
     idle: Vec<IdleConnection>,
+    /// The program's data about the server.
     more: T,
 }
 
@@ -59,14 +64,16 @@
     pub address: SocketAddr,
     /// The server's generation at this address.
     pub generation: u64,
-    /// An idle connection, and its idle time.
+    /// An idle connection to reuse, since when it has been idle and for how long it may be; `None` if a new one
+    /// must be opened.
     pub kept: Option<(Connection, Idle)>,
-    /// What the caller read from the program's data about the server.
+    /// The result of the closure `more` that the caller passed to [`Pool::reach`].
     pub more: R,
 }
 
 impl<T: 'static> Pool<T> {
-    /// Starts without servers, and a task that drops expired idle connections each second.
+    /// Creates a pool without servers, and spawns a local task that drops expired idle connections each second
+    /// until the pool is dropped.
     pub fn new(budget: Rc<Budget>) -> Rc<Pool<T>> {
         let pool = Rc::new(Pool {
             hosts: RefCell::default(),
@@ -85,6 +92,7 @@
         pool
     }
 
+    /// Closes idle connections that are no longer usable.
     fn sweep(&self) {
         self.reuse.fade();
         for host in self.hosts.borrow_mut().values_mut() {
--- a/crates/traffic/src/ports.rs
+++ b/crates/traffic/src/ports.rs
@@ -17,12 +17,12 @@
 /// Events that peers report to the node. It handles each before the call returns, and may call the peer again
 /// meanwhile, so the caller must not hold a `RefCell` borrow across the call.
 pub trait Core {
-    /// Passes an event to the decisions.
+    /// Passes an event to the load balancer's controller.
     fn event(&self, event: Event);
     /// Forwarding of a streamed body to an app server has begun, so it can't be sent again, or (`complete`) is
     /// complete.
     fn upload_progressed(&self, id: &RequestId, number: usize, complete: bool);
-    /// Whether the decisions currently send nothing new to an app server, though it is in service.
+    /// Whether the controller currently sends nothing new to an app server, though it is in service.
     fn avoids(&self, server: ServerId) -> bool;
 }
 
@@ -139,13 +139,14 @@
         }
     }
 
-    /// How long a new attempt waits for a connection; a streamed body may outlast `stop`, so its own wait
+    /// Until when a new attempt may wait for a connection; a streamed body may outlast `stop`, so its own wait
     /// limits it.
     pub fn connect_by(&self, stop: Instant) -> Instant {
         self.streamed().map_or(stop, |upload| Instant::now() + upload.wait)
     }
 
-    /// Returns when `before` is left of the request's time, which ends at `until` for a buffered body.
+    /// Returns at `until` for a buffered body (`before` is not used). For a streamed body, returns `before` ahead of the
+    /// end of its time limit, which counts from the body's last byte.
     pub async fn wait_until_due(&self, until: Instant, before: Duration) {
         match self.streamed() {
             None => sleep_until(until).await,
@@ -153,8 +154,8 @@
         }
     }
 
-    /// The body for an attempt; none if an earlier attempt has taken some of it. Reports the progress of a
-    /// streamed body to `core`.
+    /// The body for an attempt; none if it is streamed and another attempt holds it or has taken some of it.
+    /// Reports the progress of a streamed body to `core`.
     pub fn body<T: Traffic>(
         &self,
         core: &Weak<dyn AttemptEvents<T>>,
--- a/crates/traffic/src/raw_head.rs
+++ b/crates/traffic/src/raw_head.rs
@@ -54,7 +54,8 @@
         self.has_changed_target.set(!is_unchanged(target, request.uri()));
         let lines = bytes[start..end].split(|&b| b == b'\n').skip(1);
         let bare = bytes[start..end].windows(2).any(|two| two[1] == b'\n' && two[0] != b'\r');
-        self.has_odd_lines.set(bare || bytes[end..].starts_with(b"\n") || lines.into_iter().any(is_folded));
+        self.has_odd_lines
+            .set(bare || bytes[end..].starts_with(b"\n") || lines.into_iter().any(is_continuation));
         let body = request.body().size_hint().exact().unwrap_or(u64::MAX);
         let end = (end + if bytes[end..].starts_with(b"\r") { 4 } else { 2 }).min(bytes.len());
         let buffered_body = (bytes.len() - end) as u64;
@@ -92,6 +93,7 @@
     }
 }
 
-fn is_folded(line: &[u8]) -> bool {
+/// Whether a line starts with white space: an obsolete continuation of the line before it.
+fn is_continuation(line: &[u8]) -> bool {
     line.first().is_some_and(|b| matches!(b, b' ' | b'\t'))
 }
--- a/crates/traffic/src/reuse.rs
+++ b/crates/traffic/src/reuse.rs
@@ -3,20 +3,22 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// Idle ages are bucketed by half octaves, from below a millisecond to about a minute.
+/// Number of buckets of idle ages. Each covers a factor of √2; the first begins at 0, the last at about 46 s.
 const AGE_BUCKETS: usize = 32;
 /// Cost of a new connection (handshake and the app server's work for it), as a fraction of a broken request.
 const NEW_CONNECTION_COST: f64 = 0.05;
-/// Breaks saved, net of the cost of new connections, from which on older connections are skipped.
+/// Connections from some idle age on are skipped only if that saves more broken requests than this, net of the
+/// cost of the new connections.
 const MIN_BREAKS_SAVED: f64 = 2.0;
 /// Decay factor of the counts per second.
 const DECAY_PER_SECOND: f64 = 0.92;
 
-/// Requests that ended on connections of one age bucket, and those of them that a connection failure ended
-/// before a byte of the answer came.
+/// Decaying counts of the requests that ended on new connections, or on those of one age bucket.
 #[derive(Clone, Copy, Default)]
 struct EndCounts {
+    /// All of them.
     all: f64,
+    /// Those that a connection failure ended before a byte of the answer came.
     broken: f64,
 }
 
@@ -26,7 +28,9 @@
 /// old connections break by chance for a while, each request pays for a new connection until the counts have
 /// decayed.
 pub struct Reuse {
+    /// Counts of new connections.
     fresh: Cell<EndCounts>,
+    /// Counts of reused connections by age bucket.
     aged: RefCell<[EndCounts; AGE_BUCKETS]>,
     /// Ages from this bucket on are not reused.
     limit: Cell<usize>,
@@ -83,7 +87,7 @@
     }
 
     /// Sets the limit to the age from which on new connections save the most breaks net of their cost; no
-    /// limit if too few breaks were seen.
+    /// limit if none saves more than [`MIN_BREAKS_SAVED`].
     fn update_limit(&self) {
         let fresh = self.fresh.get();
         let cost = fresh.broken / (fresh.all + 1.0) + NEW_CONNECTION_COST;
@@ -98,6 +102,7 @@
     }
 }
 
+/// The bucket of an idle age; the last one for all longer ages.
 fn age_bucket(idle: Duration) -> usize {
     let buckets = 2.0 * (idle.as_secs_f64() * 1e3).max(1.0).log2();
     (buckets as usize).min(AGE_BUCKETS - 1)
--- a/crates/traffic/src/streamed_body.rs
+++ b/crates/traffic/src/streamed_body.rs
@@ -32,8 +32,9 @@
     Partial(Bytes, Incoming),
 }
 
-/// Buffers a body of at most `max_bytes` bytes; of a longer one, as much as that, as the memory limit allows, or
-/// as arrives by `until`. A body that declares a larger size is not read at all.
+/// Buffers a body. Stops and returns the rest unread once the body exceeds `max_bytes` or its share of the memory
+/// limit, or at the time `until`. A body that declares more than `max_bytes` is not read at all; one that declares
+/// more than the maximum length is an error.
 pub async fn buffer_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -110,25 +111,34 @@
     Started,
     /// All of it has been forwarded.
     Complete,
-    /// The client aborted it or was too slow.
+    /// The client aborted it or was too slow, or it was too long.
     Broken,
 }
 
 /// A client's streamed body, shared by the client's connection and the attempt.
 pub struct Upload {
+    /// The part that was buffered before.
     first: Bytes,
+    /// The rest; `None` while an attempt holds it or once one has taken some of it.
     rest: RefCell<Option<Incoming>>,
+    /// The total length in bytes, if known.
     length: Option<u64>,
     /// How long the client waits for the answer after the last byte of its body.
     pub wait: Duration,
+    /// Since when it is being received.
     begun: Instant,
+    /// Time that it may take beyond what the minimum rate allows.
     grace: Duration,
+    /// Bytes received, including `first`.
     received: Cell<u64>,
     stage: Cell<UploadStage>,
+    /// When all of it had been forwarded, or forwarding failed.
     ended: Cell<Option<Instant>>,
+    /// Notified when `ended` is set.
     notify_end: Notify,
     /// Reserved memory for its buffers; none for a body that is only drained.
     _reservation: Option<Reservation>,
+    /// Maximum total length, in bytes.
     max_body_bytes: u64,
 }
 
@@ -160,7 +170,7 @@
         })
     }
 
-    /// The body for an attempt; none if an earlier attempt has taken some of it. `on_progress` is called with false
+    /// The body for an attempt; none if another attempt holds it or has taken some of it. `on_progress` is called with false
     /// when the first piece is forwarded and with true when the last one is.
     pub fn body(self: &Rc<Self>, on_progress: impl Fn(bool) + 'static) -> Option<UploadBody> {
         let rest = self.rest.take()?;
@@ -191,7 +201,7 @@
         self.length
     }
 
-    /// Whether the client aborted it.
+    /// Whether the client aborted it or was too slow, or it was too long.
     pub fn is_broken(&self) -> bool {
         self.stage.get() == UploadStage::Broken
     }
@@ -209,10 +219,12 @@
         }
     }
 
+    /// When the client is too slow unless more bytes arrive.
     fn time_limit(&self) -> Instant {
         self.begun + self.grace + Duration::from_micros(self.received.get() * 1_000_000 / MIN_UPLOAD_RATE)
     }
 
+    /// Records the end and its stage; only the first call counts.
     fn finish(&self, stage: UploadStage) {
         if self.ended.get().is_none() {
             self.stage.set(stage);
@@ -225,9 +237,12 @@
 /// A client's streamed body as the body of an upstream request.
 pub struct UploadBody {
     upload: Rc<Upload>,
+    /// The buffered part, until it is forwarded.
     first: Option<Bytes>,
     rest: Option<Incoming>,
+    /// Called with false when the first piece is forwarded and with true when the last one is.
     on_progress: Box<dyn Fn(bool)>,
+    /// Expires when the client is too slow.
     timer: Pin<Box<Sleep>>,
 }
 
@@ -330,22 +345,28 @@
 /// How a streamed answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The client has been given all of it.
+    /// All of it has been passed to the client's connection.
     Complete,
-    /// The app server aborted it.
+    /// The app server aborted it or sent nothing for [`STALL_TIMEOUT`], or it was too long.
     Broken,
 }
 
 /// An app server's streamed answer as the body of the client's response.
 pub struct Download {
+    /// The buffered part, until it is forwarded.
     first: Option<Bytes>,
     rest: Incoming,
+    /// The total length in bytes, if known.
     length: Option<u64>,
+    /// Bytes forwarded so far.
     forwarded: u64,
     /// Reports the end to the attempt; dropped without a value, the client has disconnected.
     end: Option<oneshot::Sender<End>>,
+    /// Expires [`STALL_TIMEOUT`] after the last bytes.
     timer: Pin<Box<Sleep>>,
+    /// Called with its end.
     counted: Option<Box<dyn FnOnce(End)>>,
+    /// Reserved memory for its buffers.
     reservation: Reservation,
 }
 
--- a/crates/traffic/src/watchdog.rs
+++ b/crates/traffic/src/watchdog.rs
@@ -16,7 +16,7 @@
 /// A tick this late counts as a stall. Together with the tick interval it is less than the 0.5 s within which
 /// a draining app server must stop receiving new requests.
 const STALL_THRESHOLD: Duration = Duration::from_millis(150);
-/// Polls of all sockets until pending input has been acted upon: accept a call, read it, carry it out, and
+/// Number of polls of all sockets until pending input has been acted upon: accept a call, read it, carry it out, and
 /// one spare.
 const CATCH_UP_POLLS: usize = 4;
 /// How long to wait for the records of the other processes: reading them may wait for the disk.
@@ -41,9 +41,11 @@
 /// Detects stalls of one process.
 pub struct Watchdog {
     last_tick: Cell<Instant>,
+    /// As in [`State`].
     behind: Cell<bool>,
     /// Other processes of this node may have received input that this one has not.
     others: Cell<bool>,
+    /// Notified when the records of the other processes have been read.
     records_read: Notify,
 }
 
@@ -63,7 +65,7 @@
         State { since_tick: self.last_tick.get().elapsed(), behind: self.behind.get() }.behind()
     }
 
-    /// Records that the process runs. After a stall this returns once all pending input has been processed.
+    /// Records that the process runs; after a stall, waits for [`Watchdog::caught_up`] first.
     pub async fn tick(&self) {
         if self.behind() {
             self.behind.set(true);
@@ -73,7 +75,9 @@
         self.last_tick.set(Instant::now());
     }
 
-    /// Returns once all input that arrived during a stall has been processed; at once if there was no stall.
+    /// Gives the input that arrived during a stall time to be processed: returns after `CATCH_UP_POLLS` polls of
+    /// the sockets and, if there are other processes, once their records have been read or `RECORDS_TIMEOUT` has
+    /// passed. Returns at once if there was no stall.
     pub async fn caught_up(&self) {
         if !self.behind() {
             return;
