--- a/crates/proxy/src/attempt_outcome.rs
+++ b/crates/proxy/src/attempt_outcome.rs
@@ -8,7 +8,7 @@
 /// How the connection of a response is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionDisposition {
-    /// The connection is kept for further requests.
+    /// The connection may be kept for further requests, if the server keeps it open.
     Reused,
     /// The connection is closed.
     Closed,
@@ -29,7 +29,7 @@
 
 /// The handling of a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptOutcome {
+pub struct ResponseHandling {
     /// The outcome of the attempt for the load balancer.
     pub outcome: Outcome,
     /// Whether the request was executed by this attempt.
@@ -40,9 +40,9 @@
     pub response: ResponseDisposition,
 }
 
-impl AttemptOutcome {
+impl ResponseHandling {
     /// Decides how a response of a class is handled. `is_clean`: no bytes of the request can remain unread on the connection.
-    pub fn new(class: ResponseClass, is_idempotent: bool, is_clean: bool) -> AttemptOutcome {
+    pub fn new(class: ResponseClass, is_idempotent: bool, is_clean: bool) -> ResponseHandling {
         let connection = match class {
             ResponseClass::Untrusted => ConnectionDisposition::Distrusted,
             _ if is_clean => ConnectionDisposition::Reused,
@@ -57,6 +57,6 @@
                 ResponseDisposition::Dropped
             }
         };
-        AttemptOutcome { outcome: class.outcome(), execution: class.execution(), connection, response }
+        ResponseHandling { outcome: class.outcome(), execution: class.execution(), connection, response }
     }
 }
--- a/crates/proxy/src/forwarded_request.rs
+++ b/crates/proxy/src/forwarded_request.rs
@@ -34,7 +34,8 @@
     /// The length or framing of the body differs, or is ambiguous.
     #[error("the body is not framed as it was received")]
     BodyFraming,
-    /// The tenant is not the one that was admitted, or its name is not a valid header value.
+    /// The tenant does not own the client's API key; its name is empty, has leading or trailing white space or is not a valid
+    /// header value; or the tenant header does not occur exactly once with this name (without a tenant: not at all).
     #[error("the tenant is not the one that holds the client's key")]
     Tenant,
     /// The client's API key would be disclosed to the server.
@@ -104,7 +105,7 @@
     pub target: Uri,
     /// The host.
     pub host: HeaderValue,
-    /// The request id.
+    /// The value of the client's request id header, which a forwarded request must carry exactly once.
     pub id: HeaderValue,
     /// The tenant that owns the client's API key, according to the routing table that matched the request; `None` without a tenant.
     pub tenant: Option<HeaderValue>,
@@ -118,7 +119,8 @@
     /// Records a received request.
     ///
     /// # Errors
-    /// If the tenant does not own the client's API key, or its name is not a valid header value.
+    /// If the tenant does not own the client's API key, or its name is empty, has leading or trailing white space or is not a valid
+    /// header value.
     pub fn new(
         method: Method,
         head: &RequestHead,
@@ -209,7 +211,7 @@
 }
 
 impl ForwardedRequest {
-    /// Builds the forwarded request from the received request and its headers.
+    /// Computes the headers to forward from the received request and its headers; [`Self::attempt`] builds the requests.
     pub fn new(received: ReceivedRequest, headers: HeaderMap) -> ForwardedRequest {
         let headers = forwarded_headers(headers, &received);
         ForwardedRequest { received, headers }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -55,9 +55,11 @@
 use rejection::{Rejection, RetryAfter};
 use response::{complete_response, fallback_response};
 
-/// Timeout for reading a body after its head, in addition to the time that the body takes at the minimum transfer rate.
+/// Timeout for receiving a short body, or the first part of a long one, from the receipt of the head. The rest of a long body may
+/// take this much longer than the minimum transfer rate allows.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of the body that are read and discarded after a request was rejected by its head, so that the client receives the response.
+/// Maximum number of bytes of a body that are read and discarded after a request was rejected by its head, so that the client can
+/// receive the response.
 const DISCARDED_BODY_LENGTH: u64 = 1 << 20;
 /// A request fails this long before its client gives up.
 const FAILURE_MARGIN: Duration = Duration::from_micros(FAIL_BEFORE);
@@ -105,7 +107,9 @@
     admitter: Weak<dyn Admitter>,
     /// Requests that wait for a quota unit.
     waiting: RefCell<BTreeMap<RequestId, oneshot::Sender<Admission>>>,
+    /// The last id that `next_id` returned.
     last_id: Cell<u64>,
+    /// The state of the random number generator.
     random: Cell<u64>,
     is_shutting_down: Cell<bool>,
     /// Counters of requests by result.
@@ -115,8 +119,9 @@
 /// Whether a client connection may carry another request after this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionUse {
+    /// It may.
     KeepAlive,
-    /// Unread bytes of the body may still arrive.
+    /// It may not: unread bytes of the body may still arrive.
     Close,
 }
 
@@ -131,8 +136,9 @@
 struct Forwarding {
     service: Rc<Service>,
     id: NodeRequestId,
-    /// The deadline of the request, by the proxy's clock.
+    /// The deadline of the request, by the proxy's clock, in microseconds.
     due: u64,
+    /// The body, if it is streamed.
     upload: Option<Rc<Upload>>,
     state: Rc<RequestState>,
 }
--- a/crates/proxy/src/request_head.rs
+++ b/crates/proxy/src/request_head.rs
@@ -57,7 +57,7 @@
     /// The request id is missing or empty.
     #[error("no X-Request-Id")]
     NoRequestId,
-    /// The deadline is not a number.
+    /// The deadline is not an unsigned integer of ASCII digits, or is too large.
     #[error("X-Deadline-Ms is no whole number")]
     InvalidDeadline,
     /// The request target has no path.
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -49,7 +49,7 @@
 const IDLE_TICK: Duration = Duration::from_millis(75);
 /// Listen backlog of the client listener.
 const BACKLOG: u32 = 1024;
-/// Fraction of the file descriptors available to client connections.
+/// Fraction of the file descriptors that are not reserved which client connections may use.
 const CLIENT_DESCRIPTORS: f64 = 0.6;
 /// File descriptors reserved for registry links, readiness checks and files.
 const RESERVED_DESCRIPTORS: usize = 240;
@@ -65,12 +65,12 @@
 const READINESS_HEADER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Idle timeout of a readiness connection.
 const READINESS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long connections are still accepted after SIGTERM: readiness is checked each second, and it takes two failed checks until
-/// clients are sent elsewhere.
+/// How long connections are still accepted after SIGTERM, at most half of the grace period: readiness is checked each second,
+/// and it takes two failed checks until clients are sent elsewhere.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_700);
 /// The process exits this long before the end of the grace period, at which it would be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// Delay before exit, in which the last response bytes and `Goodbye` messages are flushed.
+/// Delay before exit, in which the last response bytes and `Goodbye` messages can be flushed.
 const FLUSH_DELAY: Duration = Duration::from_millis(30);
 
 /// The components of the proxy process.
@@ -83,6 +83,7 @@
     /// Set once during construction, before any event is handled.
     handler: RefCell<Weak<RequestHandler>>,
     settings: Settings,
+    /// When the next rollout reports are due, by the proxy's clock.
     next_rollout_report: Cell<Micros>,
     is_ready: Cell<bool>,
     is_shutting_down: Cell<bool>,
@@ -158,7 +159,7 @@
             ratio: settings.bounds.retry_ratio,
             extra: settings.bounds.retry_extra,
         };
-        let room = common.body_memory.clone();
+        let memory_pool = common.body_memory.clone();
         let servers = ServerPool::new(common, RetryBudget::new(bounds));
         let services = Services::new(clock.clone(), servers.clone(), &settings.zone, process_id);
         let proxy = Rc::new(RunningProxy {
@@ -174,7 +175,7 @@
             is_shutting_down: Cell::new(false),
         });
         let admitter: Weak<dyn Admitter> = Rc::downgrade(&(proxy.clone() as Rc<dyn Admitter>));
-        let handler = RequestHandler::new(clock, services, servers, room, admitter, process_id);
+        let handler = RequestHandler::new(clock, services, servers, memory_pool, admitter, process_id);
         proxy.handler.replace(Rc::downgrade(&handler));
         (proxy, handler)
     }
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Reports on the rollouts in progress to all registries, every `REPORT_INTERVAL`.
+    /// Reports on the rollouts in progress to all linked registries, every `REPORT_INTERVAL`.
     fn report_rollouts(&self) {
         if self.clock.now() < self.next_rollout_report.get() {
             return;
--- a/crates/proxy/src/server_pool.rs
+++ b/crates/proxy/src/server_pool.rs
@@ -18,7 +18,7 @@
 
 /// Connect timeout: connecting to a dead machine hangs, and a full listen backlog delays it by seconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Minimum connect timeout, however little of the request's time is left.
+/// Minimum connect timeout, however little of the request's time is left; the attempt's deadline may end it earlier.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
 /// Connecting may take the request's remaining time divided by this, so that another server can still be tried.
 const CONNECT_TIME_DIVISOR: u32 = 4;
@@ -33,9 +33,11 @@
 pub(crate) struct ServerInfo {
     /// The server's id as a header value.
     id: HeaderValue,
+    /// The name of its service.
     service: String,
+    /// When its last untrusted response arrived.
     distrusted_since: Option<Instant>,
-    /// The number of open connections.
+    /// The number of connections that are open or being opened.
     connections: Rc<Cell<usize>>,
 }
 
@@ -78,8 +80,8 @@
     /// The generation of the server's address.
     pub(crate) generation: u64,
     pub(crate) server_id: HeaderValue,
-    /// The idle state of a reused connection; `None` for a new one.
-    pub(crate) idle: Option<Idle>,
+    /// Since when a reused connection was idle, and how long it could be; `None` for a new one.
+    pub(crate) idle_period: Option<Idle>,
 }
 
 /// Counters of a server pool.
@@ -196,8 +198,13 @@
         let Some(Reach { address, generation, kept, more: (server_id, open, limit) }) = reach else {
             return Err(ConnectError::Failed);
         };
-        if let Some((connection, idle)) = kept {
-            return Ok(ServerConnection { connection, generation, server_id, idle: Some(idle) });
+        if let Some((connection, idle_period)) = kept {
+            return Ok(ServerConnection {
+                connection,
+                generation,
+                server_id,
+                idle_period: Some(idle_period),
+            });
         }
         if open.get() >= limit {
             return Err(ConnectError::Exhausted);
@@ -211,7 +218,7 @@
         if !self.connections.is_current(server, generation) {
             return Err(ConnectError::Failed);
         }
-        Ok(ServerConnection { connection, generation, server_id, idle: None })
+        Ok(ServerConnection { connection, generation, server_id, idle_period: None })
     }
 
     /// Returns a connection to the pool on which nothing was written.
@@ -220,10 +227,10 @@
         server: ServerId,
         connection: Connection,
         generation: u64,
-        idle: Option<Idle>,
+        idle_period: Option<Idle>,
     ) {
-        match idle {
-            Some(idle) => self.connections.put_back(server, connection, generation, idle),
+        match idle_period {
+            Some(idle_period) => self.connections.put_back(server, connection, generation, idle_period),
             None => self.connections.give_back(server, connection, generation, DEFAULT_KEEP_ALIVE),
         }
     }
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -25,11 +25,11 @@
 use crate::upstream::UpstreamConnector;
 use crate::versions::ServiceVersions;
 
-/// Duration of the slow start of a server that reports a warm-up time.
+/// Duration of the slow start of a server that reports a warm-up time, in microseconds.
 const SLOW_START: Micros = 3_000_000;
 /// Fraction of its capacity that a server has at the beginning of its slow start.
 const SLOW_START_SHARE: f64 = 0.5;
-/// Cost of a server in another zone relative to one in this zone.
+/// Additional price of an attempt at a server in another zone: the load balancer's `Settings::cross_zone_price`.
 const CROSS_ZONE_PRICE: f64 = 0.15;
 /// A request that no server can take now is queued for its latency target divided by this: if it were rejected later, its client
 /// would have no time left to try elsewhere.
@@ -71,6 +71,7 @@
 pub struct Service {
     /// The load-balancing node of this version.
     pub node: Rc<Node<ProxyTraffic>>,
+    /// The registered classes; the index is the class's number at the node.
     classes: RefCell<Vec<RouteClass>>,
 }
 
@@ -78,6 +79,7 @@
 #[derive(Debug, Clone)]
 struct NumberedServer {
     number: ServerId,
+    /// The service version that it belongs to.
     name: VersionName,
     is_ready: bool,
 }
@@ -95,11 +97,14 @@
     pool: Rc<ServerPool>,
     /// The zones of all servers seen so far; the index is the zone's number. This machine's zone is the first.
     zones: RefCell<Vec<String>>,
+    /// The seed from which each node's random seed is derived.
     seed: u64,
     /// The index of this proxy among all proxies, and their number.
     proxy_position: Cell<(u32, u32)>,
     services: RefCell<BTreeMap<VersionName, Rc<Service>>>,
+    /// By service name.
     versions: RefCell<BTreeMap<String, Rc<ServiceVersions>>>,
+    /// By server id.
     servers: RefCell<BTreeMap<String, NumberedServer>>,
 }
 
--- a/crates/proxy/src/subscriber.rs
+++ b/crates/proxy/src/subscriber.rs
@@ -25,18 +25,19 @@
 pub use pinerelay_admission::lease_cache::Admission;
 use registry_link::{Confirmation, RegistryLink};
 
-/// Interval at which the digests of the replica are sent.
+/// Interval at which the digests of the replica are sent, in microseconds.
 const DIGEST_INTERVAL: Micros = 600_000;
-/// Interval at which keep-alive messages are sent: the registries reserve the quota share of a silent proxy.
+/// Interval at which keep-alive messages are sent, in microseconds: the registries reserve the quota share of a silent proxy.
 const KEEPALIVE_INTERVAL: Micros = 200_000;
 /// A starting proxy that finds no current registry for this long serves its unconfirmed configuration. This is longer than a
 /// configuration may take to reach a machine while the core is unsettled, and shorter than the time allowed for restoring service
-/// after a failure.
+/// after a failure. In microseconds.
 const UNCONFIRMED_AFTER: Micros = 10_000_000;
-/// A gap between two ticks that counts as a stall of this process: messages missed meanwhile say nothing about the registries.
+/// A longer gap between two ticks, in microseconds, counts as a stall of this process: messages missed meanwhile say nothing about
+/// the registries.
 const STALL_THRESHOLD: Micros = 700_000;
 /// Maximum time for which a possibly partial update is withheld, except for the first table. After a partition a proxy is allowed
-/// more time than this, from reconnection, to activate what was acknowledged meanwhile.
+/// more time than this, from reconnection, to activate what was acknowledged meanwhile. In microseconds.
 const WITHHOLD_LIMIT: Micros = 1_000_000;
 
 /// An effect that the caller carries out.
@@ -73,6 +74,7 @@
 /// The proxy's replica of the configuration and the servers, and its quota leases.
 pub struct Subscriber {
     own_hello: Hello,
+    /// Registry addresses from the settings file.
     seeds: Vec<String>,
     /// Registry addresses learned from the registries.
     known_registries: BTreeSet<String>,
@@ -88,6 +90,7 @@
     /// has reported the same configuration yet.
     partial_since: Option<Micros>,
     leases: LeaseCache,
+    /// The linked registries.
     registries: BTreeMap<ConnectionId, RegistryLink>,
     /// Whether the replica has once been equal to the configuration of a registry that was complete and current.
     is_complete: bool,
@@ -102,8 +105,11 @@
     misdirected: BTreeMap<usize, usize>,
     /// When the digests last matched those of a registry.
     last_in_sync: Micros,
+    /// When the digests are sent next.
     next_digests: Micros,
+    /// When keep-alive messages are sent next.
     next_keepalive: Micros,
+    /// When the last tick was handled.
     last_tick: Micros,
 }
 
@@ -251,7 +257,7 @@
         self.publish(now, out);
     }
 
-    /// Registers a link to a registry and starts anti-entropy; closes connections from other roles.
+    /// Registers a link to a registry and starts anti-entropy; closes connections from other roles, except observers.
     fn on_hello(&mut self, connection: ConnectionId, hello: Hello, out: &mut Vec<Output>) {
         if hello.role == Role::Observer {
             // An observer only requests metrics.
@@ -384,13 +390,14 @@
         }
     }
 
-    /// The digests of both realms.
+    /// The digests of the configuration items and of the runtime items.
     fn digests(&self) -> [u64; 2] {
         [self.realms[0].digest(), self.realms[1].digest()]
     }
 
     /// Checks whether the replica is equal to the configuration of a registry that is complete and current. A registry that was
-    /// partitioned together with its store is complete, but may be out of date.
+    /// partitioned together with its store is complete, but may be out of date: its configuration is served unconfirmed once no
+    /// registry has been current for `UNCONFIRMED_AFTER`.
     fn check_complete(&mut self, now: Micros) {
         // At the first start of a cluster the empty configuration is confirmed as current. It must not count as complete, since the
         // next items may be only a part of an update.
--- a/crates/proxy/src/subscriber/registry_link.rs
+++ b/crates/proxy/src/subscriber/registry_link.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether the registry's replica is complete.
+    /// Whether the registry reports that it has the complete configuration.
     pub fn is_complete(&self) -> bool {
         self.status.as_ref().is_some_and(|status| status.is_complete)
     }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -25,7 +25,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
-use crate::attempt_outcome::{AttemptOutcome, ConnectionDisposition, ResponseDisposition};
+use crate::attempt_outcome::{ConnectionDisposition, ResponseDisposition, ResponseHandling};
 use crate::forwarded_request::RejectedAttempt;
 use crate::proxied_request::{ProxiedRequest, ProxyTraffic};
 use crate::request_head::KEEP_ALIVE;
@@ -36,7 +36,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of a body that are buffered; the rest of a longer body is streamed.
+/// Maximum length of a body that is buffered, in bytes; a longer one is streamed.
 pub const BUFFERED_BODY_LENGTH: usize = 64 * 1024;
 /// Fraction of the server's keep-alive timeout after which an idle connection is closed.
 const KEEP_ALIVE_USE: f64 = 0.8;
@@ -45,11 +45,15 @@
 
 /// Makes the attempts of a service's requests at the servers of one version.
 pub struct UpstreamConnector {
+    /// The name of the service.
     service: String,
+    /// The name of the version.
     version: Rc<str>,
+    /// The versions of the service, and what this proxy has measured of them.
     versions: Rc<ServiceVersions>,
     servers: Rc<ServerPool>,
     clock: Rc<Clock>,
+    /// The node to which the attempts are reported.
     core: Weak<dyn AttemptEvents<ProxyTraffic>>,
     weak_self: Weak<UpstreamConnector>,
 }
@@ -92,7 +96,9 @@
 /// The connection used by an attempt.
 struct AttemptConnection {
     connection: Connection,
+    /// The generation of the server's address.
     generation: u64,
+    /// Whether it came from the pool.
     is_reused: bool,
 }
 
@@ -194,13 +200,13 @@
         unsent_message: Option<Request<Sent>>,
         connect_deadline: Instant,
     ) -> ControlFlow<AttemptEnd, Request<Sent>> {
-        let ServerConnection { mut connection, generation, server_id, idle } = server_connection;
-        let idle_for = idle.as_ref().map(|idle| idle.age());
+        let ServerConnection { mut connection, generation, server_id, idle_period } = server_connection;
+        let idle_for = idle_period.as_ref().map(|period| period.age());
         let message = self.build_message(unsent_message, server_id);
         let message = match message {
             Some(message) if self.may_still_send(connect_deadline) => message,
             unsent_request => {
-                self.servers().return_unused(self.server, connection, generation, idle);
+                self.servers().return_unused(self.server, connection, generation, idle_period);
                 unsent_request.into_iter().for_each(|message| give_back(message.into_body()));
                 return ControlFlow::Break(Outcome::NotSent.into());
             }
@@ -209,7 +215,7 @@
         let response_progress = connection.answer_timing();
         let result = tokio::select! {
             biased;
-            result = self.exchange(&mut connection, message, idle.is_some()) => result,
+            result = self.exchange(&mut connection, message, idle_period.is_some()) => result,
             // It is unknown whether the last byte was sent, so the request may have been executed.
             () = self.request.body.wait_until_due(connect_deadline, STOP_MARGIN) => {
                 return ControlFlow::Break(Outcome::TimedOut.into());
@@ -227,7 +233,7 @@
             // The client aborted the upload: this is no failure of the server.
             return ControlFlow::Break(Outcome::NotSent.into());
         }
-        let connection = AttemptConnection { connection, generation, is_reused: idle.is_some() };
+        let connection = AttemptConnection { connection, generation, is_reused: idle_period.is_some() };
         self.conclude(result, connection, execution_before).await
     }
 
@@ -321,21 +327,21 @@
     ) -> AttemptEnd {
         let CompleteResponse { class, response, keep_alive } = complete;
         let is_clean = self.is_request_complete(&connection.connection);
-        let outcome = AttemptOutcome::new(class, self.request.is_idempotent, is_clean);
+        let handling = ResponseHandling::new(class, self.request.is_idempotent, is_clean);
         let state = &self.request.state;
-        state.execution.set(execution_before.combine(outcome.execution));
-        match (outcome.connection, keep_alive) {
+        state.execution.set(execution_before.combine(handling.execution));
+        match (handling.connection, keep_alive) {
             (ConnectionDisposition::Reused, Some(keep_alive)) => self.keep_connection(connection, keep_alive),
             (ConnectionDisposition::Distrusted, _) => self.servers().distrust(self.server),
             (ConnectionDisposition::Reused, None) | (ConnectionDisposition::Closed, _) => {}
         }
-        match outcome.response {
-            ResponseDisposition::Client => AttemptEnd { outcome: outcome.outcome, response: Some(response) },
+        match handling.response {
+            ResponseDisposition::Client => AttemptEnd { outcome: handling.outcome, response: Some(response) },
             ResponseDisposition::Fallback => {
                 state.fallback.replace(Some(response));
-                outcome.outcome.into()
+                handling.outcome.into()
             }
-            ResponseDisposition::Dropped => outcome.outcome.into(),
+            ResponseDisposition::Dropped => handling.outcome.into(),
         }
     }
 
@@ -343,8 +349,8 @@
     async fn stream_to_client(&self, response: StreamedResponse, connection: AttemptConnection) -> Outcome {
         let StreamedResponse { head, first, rest, keep_alive } = response;
         self.request.state.execution.set(ExecutionStatus::Executed);
-        let room = &self.servers().common.body_memory;
-        let (download, ended) = Download::new(first, rest, room.reserve_stream());
+        let memory_pool = &self.servers().common.body_memory;
+        let (download, ended) = Download::new(first, rest, memory_pool.reserve_stream());
         let core = self.connector.core.upgrade();
         if !core.is_some_and(|core| core.answer_started(self.id, self.number, (head, download))) {
             return Outcome::Cancelled;
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -44,6 +44,7 @@
     clock: Rc<Clock>,
     /// The rollout that applies to the service, if there is one.
     current_rollout: RefCell<Option<Arc<RolloutInForce>>>,
+    /// The permit for the target version of the rollout that applies, and how much it was used.
     exposure: RefCell<Exposure>,
     /// Attempt results of the target and the stable versions in the rollout in progress, by route.
     samples: RefCell<BTreeMap<u64, RouteSample>>,
@@ -216,7 +217,9 @@
     versions: Rc<ServiceVersions>,
     version: Rc<str>,
     route: ObservedRoute,
+    /// When the attempt was sent, by the proxy's clock.
     since: Micros,
+    /// Whether it has been neither counted nor discarded.
     is_pending: bool,
 }
 
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -101,7 +101,8 @@
     begun: Mutex<BTreeMap<String, u32>>,
     /// By server: the number of connections that received a request.
     connections: Mutex<[u32; 2]>,
-    /// Requests that arrived on a connection with surplus response bytes, or on one whose previous request was abandoned.
+    /// One entry per request that the proxy wrongly sent on a connection with surplus response bytes (its id), or per connection
+    /// on which it sent another request after it had abandoned one (a fixed text).
     misrouted: Mutex<Vec<String>>,
 }
 
@@ -379,7 +380,8 @@
 }
 
 #[gtest]
-fn after_a_fault_in_any_phase_requests_run_at_most_once_and_clients_get_only_their_own_response() {
+fn after_a_fault_in_any_phase_unrepeatable_requests_run_at_most_once_and_clients_get_only_their_own_response()
+{
     let mut cases = Vec::new();
     for phase in [Accepted, RequestHead, Body, Complete, ResponseHead, ResponseBody] {
         for fault in [Silent, Late, Reset, Close, PartialRejection] {
--- a/crates/proxy/tests/attempt_outcome.rs
+++ b/crates/proxy/tests/attempt_outcome.rs
@@ -1,7 +1,7 @@
 //! Tests of how each class of response is handled.
 
 use googletest::prelude::*;
-use pinerelay_proxy::attempt_outcome::{AttemptOutcome, ConnectionDisposition, ResponseDisposition};
+use pinerelay_proxy::attempt_outcome::{ConnectionDisposition, ResponseDisposition, ResponseHandling};
 use pinerelay_proxy::response_class::ResponseClass;
 
 const ALL: [ResponseClass; 5] = [
@@ -16,8 +16,8 @@
 fn only_a_clean_connection_with_a_trusted_response_is_reused() {
     for class in ALL {
         for is_idempotent in [false, true] {
-            let clean = AttemptOutcome::new(class, is_idempotent, true);
-            let unclean = AttemptOutcome::new(class, is_idempotent, false);
+            let clean = ResponseHandling::new(class, is_idempotent, true);
+            let unclean = ResponseHandling::new(class, is_idempotent, false);
             let is_untrusted = class == ResponseClass::Untrusted;
             expect_that!(
                 clean.connection,
@@ -49,7 +49,7 @@
 
 #[gtest]
 fn clients_get_answers_and_a_server_error_at_once_only_without_a_further_attempt() {
-    let reply = |class, is_idempotent| AttemptOutcome::new(class, is_idempotent, true).response;
+    let reply = |class, is_idempotent| ResponseHandling::new(class, is_idempotent, true).response;
     for is_idempotent in [false, true] {
         expect_that!(reply(ResponseClass::Answer, is_idempotent), eq(ResponseDisposition::Client));
         for dropped_class in
--- a/crates/proxy/tests/subscriber.rs
+++ b/crates/proxy/tests/subscriber.rs
@@ -307,7 +307,7 @@
     // Messages missed during a stall of the proxy do not count as the absence of a current registry.
     script.advance(20 * SECOND, 29 * SECOND, false, &old);
     expect_that!(script.0.can_serve(), eq(false));
-    // The waiting time does not run while another registry is current.
+    // The wait for a current registry restarts from zero once another registry has been current.
     script.link(2);
     script.send_status(29 * SECOND, 2, true, &new);
     script.advance(29 * SECOND, 38 * SECOND, false, &old);
