--- a/crates/exporter/src/exposition.rs
+++ b/crates/exporter/src/exposition.rs
@@ -135,7 +135,7 @@
         ("exporter_query_bytes_total", "Bytes read and written for queries", own.bytes as f64),
         ("exporter_poll_age_seconds", "Time since the last poll began", own.poll_age),
         ("exporter_poll_duration_seconds", "Duration of the last poll", own.poll_duration),
-        ("exporter_unnamed_processes", "Processes whose node name is not known", unnamed),
+        ("exporter_unnamed_processes", "Addresses whose process has never told its name", unnamed),
         ("exporter_unknown_metrics_total", "Metrics received that the exporter does not know", unknown),
     ];
     let families = metrics.into_iter().map(|(name, help, value)| {
--- a/crates/exporter/src/metric_names.rs
+++ b/crates/exporter/src/metric_names.rs
@@ -14,7 +14,7 @@
 
 /// All metrics of processes. Names that end in `_total` are counters, all others are gauges.
 pub const KNOWN_METRICS: &[KnownMetric] = &[
-    KnownMetric { name: "up", help: "The process answered the last query" },
+    KnownMetric { name: "up", help: "The process has answered when it was last asked" },
     KnownMetric { name: "starts_total", help: "Starts of the process seen by the exporter" },
     KnownMetric { name: "proxy_info", help: "The proxy's zone" },
     KnownMetric { name: "proxy_ready", help: "The proxy is ready for clients" },
@@ -37,11 +37,11 @@
     KnownMetric { name: "proxy_unserved_total", help: "Requests not served, by the reason" },
     KnownMetric {
         name: "proxy_deferred_total",
-        help: "Requests beyond quota that were rejected with a time to retry",
+        help: "Requests beyond quota that were rejected with a time to come back",
     },
     KnownMetric {
         name: "proxy_rejected_without_time_total",
-        help: "Requests beyond quota that were rejected without a time to retry",
+        help: "Requests beyond quota that were rejected without one",
     },
     KnownMetric {
         name: "proxy_quota_rejected_total",
@@ -49,7 +49,7 @@
     },
     KnownMetric {
         name: "proxy_quota_unanswered_total",
-        help: "Of proxy_quota_rejected_total, those for which no quota allocator had answered that no unit is left",
+        help: "Of these, those for which no quota allocator had answered that none is left",
     },
     KnownMetric { name: "proxy_retries_total", help: "Requests sent to another server (retries)" },
     KnownMetric { name: "proxy_retries_denied_total", help: "Retries that the retry budget did not allow" },
@@ -97,7 +97,7 @@
         help: "Rollouts that have neither finished nor been reverted",
     },
     KnownMetric { name: "registry_rollout_attempts", help: "Attempts at new versions of rollouts under way" },
-    KnownMetric { name: "registry_rollout_failures", help: "Attempts at new versions of rollouts under way that failed" },
+    KnownMetric { name: "registry_rollout_failures", help: "Those of them that failed" },
     KnownMetric { name: "registry_answers_total", help: "Answers to calls from outside, by status" },
     KnownMetric { name: "registry_calls_forwarded_total", help: "Calls forwarded to a store" },
     KnownMetric { name: "registry_units_leased_total", help: "Quota units leased to proxies" },
@@ -114,7 +114,7 @@
         help: "Deregistrations that no other registry confirmed in time",
     },
     KnownMetric { name: "registry_servers_lost_total", help: "Servers that the registry has marked as lost" },
-    KnownMetric { name: "registry_stalls_total", help: "Stalls of the registry" },
+    KnownMetric { name: "registry_stalls_total", help: "Times that the registry has stood still" },
     KnownMetric {
         name: "registry_lease_requests_total",
         help: "Lease requests of proxies, for one tenant each",
@@ -142,14 +142,14 @@
         help: "The store's replica is complete or not needed, as reported to the registries",
     },
     KnownMetric { name: "config_store_voters", help: "Voting stores" },
-    KnownMetric { name: "config_store_voters_heard", help: "Voting stores that this store receives messages from" },
+    KnownMetric { name: "config_store_voters_heard", help: "Voting stores that this store hears" },
     KnownMetric { name: "config_store_quorum", help: "Voting stores that an update needs" },
     KnownMetric {
         name: "config_store_spare_voters",
-        help: "Voting stores beyond a quorum that this store receives messages from; below 0 no consensus is possible",
+        help: "Voting stores heard beyond a quorum; below 0 nothing can be agreed on",
     },
     KnownMetric { name: "config_store_open_writes", help: "Writes that are not durable yet" },
-    KnownMetric { name: "config_store_oldest_open_write_seconds", help: "Age of the oldest write that is not durable yet" },
+    KnownMetric { name: "config_store_oldest_open_write_seconds", help: "Age of the oldest of them" },
     KnownMetric { name: "config_store_writes_total", help: "Writes to the disk" },
     KnownMetric { name: "config_store_writes_refused_total", help: "Writes that failed" },
     KnownMetric { name: "config_store_write_seconds_total", help: "Time spent in completed writes" },
