--- a/crates/node-runtime/src/settings.rs
+++ b/crates/node-runtime/src/settings.rs
@@ -63,7 +63,7 @@
 impl<'de> Deserialize<'de> for TextDuration {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        let error = || D::Error::invalid_value(Unexpected::Str(&text), &"a duration such as 1500ms or 2.5s");
+        let error = || D::Error::invalid_value(Unexpected::Str(&text), &"a time such as 1500ms or 2.5s");
         parse_duration(&text).map(TextDuration).ok_or_else(error)
     }
 }
@@ -231,12 +231,12 @@
             .map_err(|error| invalid(error.path().to_string(), error.inner().message().into()))?;
         let (first, last) = settings.internal_ports;
         if last < first.saturating_add(internal_port::LAST) {
-            let reason = format!("{first} to {last} are too few ports: at least three are required");
+            let reason = format!("{first} to {last} are too few ports: three are wanted");
             return Err(invalid("internal_ports".into(), reason));
         }
         match settings.bounds.invalid_number() {
             Some(name) => {
-                Err(invalid(format!("bounds.{name}"), "a finite number of at least 0 is expected".into()))
+                Err(invalid(format!("bounds.{name}"), "a number from 0 on is wanted".into()))
             }
             None => Ok(settings),
         }
@@ -251,7 +251,7 @@
         key: &str,
         address: Option<SocketAddrV4>,
     ) -> Result<SocketAddrV4, FileError> {
-        let reason = "this role requires an address and port";
+        let reason = "an address and port are wanted for what this role serves";
         address.ok_or_else(|| FileError::Invalid {
             path: path.into(),
             key: format!("listen.{key}"),
--- a/crates/node-runtime/src/settings/tests.rs
+++ b/crates/node-runtime/src/settings/tests.rs
@@ -42,9 +42,9 @@
 fn errors_name_the_file_the_key_and_the_expected_value() {
     let error_text = |from: &str, to: &str| parse(&FILE.replace(from, to)).expect_err(to);
     expect_that!(error_text("\"2.5s\"", "\"soon\""), starts_with("s.toml: bounds.apply: "));
-    expect_that!(error_text("\"2.5s\"", "\"soon\""), contains_substring("a duration such as 1500ms"));
+    expect_that!(error_text("\"2.5s\"", "\"soon\""), contains_substring("a time such as 1500ms"));
     expect_that!(error_text("\"10.1.0.37\"", "\"here\""), starts_with("s.toml: ip: "));
-    expect_that!(error_text("[7560,7575]", "[7560,7561]"), ends_with("at least three are required"));
+    expect_that!(error_text("[7560,7575]", "[7560,7561]"), ends_with("three are wanted"));
     expect_that!(error_text("zone = \"a\"", ""), contains_substring("zone"));
     expect_that!(error_text("[limits]", "[limits"), starts_with("s.toml: .: "));
 }
