--- a/crates/node-runtime/src/settings.rs
+++ b/crates/node-runtime/src/settings.rs
@@ -235,9 +235,7 @@
             return Err(invalid("internal_ports".into(), reason));
         }
         match settings.bounds.invalid_number() {
-            Some(name) => {
-                Err(invalid(format!("bounds.{name}"), "a number from 0 on is wanted".into()))
-            }
+            Some(name) => Err(invalid(format!("bounds.{name}"), "a number from 0 on is wanted".into())),
             None => Ok(settings),
         }
     }
